--- a/bench/decisions/fake_target.ts
+++ b/bench/decisions/fake_target.ts
@@ -4,7 +4,7 @@
  * numbers are of no particular machine; they are chosen so that the users' 58
  * ms between tokens are reached at about 32 requests.
  */
-import type { IWork } from "../../src/common/decisions/work.ts";
+import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 import type { EventQueue } from "./event_queue.ts";
 
 /** One step with nothing to do but start, milliseconds. */
@@ -29,7 +29,7 @@
 }
 
 interface IRunning {
-  readonly work: IWork;
+  readonly work: IWorkItem;
   readonly tokens: number;
   readonly events: ITargetEvents;
   promptLeft: number;
@@ -93,7 +93,7 @@
   }
 
   /** Accepts a request; the result cancels it. */
-  accept(work: IWork, tokens: number, events: ITargetEvents): () => void {
+  accept(work: IWorkItem, tokens: number, events: ITargetEvents): () => void {
     if (this.#behaviour === Behaviour.Away) {
       this.#events.after(1, () => events.failed());
       return () => {};
@@ -114,7 +114,7 @@
     };
   }
 
-  #promptOf(work: IWork): number {
+  #promptOf(work: IWorkItem): number {
     if (work.prefix === "") {
       return work.promptTokens;
     }
--- a/bench/decisions/policies.ts
+++ b/bench/decisions/policies.ts
@@ -6,11 +6,11 @@
 } from "../../src/common/decisions/service_scheduler.ts";
 import type { ScheduleAction } from "../../src/common/decisions/service_scheduler.ts";
 import type {
-  ITargetState,
-  ITargetUse,
-} from "../../src/common/decisions/target_book.ts";
-import { Standing } from "../../src/common/decisions/slow_target.ts";
-import type { IWork } from "../../src/common/decisions/work.ts";
+  ITargetLoadReport,
+  ITrackedRequest,
+} from "../../src/common/decisions/target_tracker.ts";
+import { TargetHealth } from "../../src/common/decisions/outlier_detector.ts";
+import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 
 /** What a policy may do. */
 export interface IPolicyHost {
@@ -19,22 +19,22 @@
   readonly daemons: number;
   readonly random: () => number;
   /** Sends work; it must not be running already. */
-  send(work: IWork, target: string): void;
-  refuse(work: IWork, retryAfter: number): void;
+  send(work: IWorkItem, target: string): void;
+  refuse(work: IWorkItem, retryAfter: number): void;
   /** Calls back after a delay in milliseconds. */
   after(delay: number, callback: () => void): void;
   /** Takes work back from where it runs. */
-  recall(work: IWork): void;
+  recall(work: IWorkItem): void;
 }
 
 /** What decides in one daemon. */
 export interface IPolicy {
-  arrive(work: IWork): void;
-  report(targets: readonly ITargetState[]): void;
-  tokens(work: IWork): void;
+  arrive(work: IWorkItem): void;
+  report(targets: readonly ITargetLoadReport[]): void;
+  tokens(work: IWorkItem): void;
   /** The answer is whole with so many tokens, or the caller has left. */
-  finished(work: IWork, tokens: number | null): void;
-  failed(work: IWork): void;
+  finished(work: IWorkItem, tokens: number | null): void;
+  failed(work: IWorkItem): void;
   tick(): void;
 }
 
@@ -48,43 +48,43 @@
 export class Scheduled implements IPolicy {
   readonly #host: IPolicyHost;
   readonly #scheduler = new ServiceScheduler();
-  readonly #uses = new Map<IWork, ITargetUse>();
-  readonly #avoid = new Map<IWork, Set<string>>();
+  readonly #uses = new Map<IWorkItem, ITrackedRequest>();
+  readonly #avoid = new Map<IWorkItem, Set<string>>();
   readonly #budgets = new Map<string, RetryBudget>();
 
   constructor(host: IPolicyHost) {
     this.#host = host;
   }
 
-  arrive(work: IWork): void {
-    this.#budgetOf(work).firstTry(this.#host.now);
-    this.#do(this.#scheduler.offer(work, this.#host.now));
+  arrive(work: IWorkItem): void {
+    this.#budgetOf(work).recordFirstAttempt(this.#host.now);
+    this.#do(this.#scheduler.submit(work, this.#host.now));
   }
 
-  report(targets: readonly ITargetState[]): void {
+  report(targets: readonly ITargetLoadReport[]): void {
     const { daemons, now } = this.#host;
-    this.#do(this.#scheduler.report({ targets, daemons }, now));
+    this.#do(this.#scheduler.updateTargets({ targets, daemons }, now));
   }
 
-  tokens(work: IWork): void {
+  tokens(work: IWorkItem): void {
     const use = this.#uses.get(work);
     if (use !== undefined) {
-      this.#scheduler.targets.tokens(use, 1, this.#host.now);
+      this.#scheduler.targets.recordTokens(use, 1, this.#host.now);
     }
   }
 
-  finished(work: IWork, tokens: number | null): void {
+  finished(work: IWorkItem, tokens: number | null): void {
     this.#end(work);
     this.#avoid.delete(work);
-    this.#scheduler.withdraw(work);
-    this.#do(this.#scheduler.finished(work, tokens, this.#host.now));
+    this.#scheduler.cancel(work);
+    this.#do(this.#scheduler.finish(work, tokens, this.#host.now));
   }
 
-  failed(work: IWork): void {
+  failed(work: IWorkItem): void {
     this.#end(work);
     const avoid = this.#avoid.get(work);
     const { now, random } = this.#host;
-    const within = work.deadline - now - this.#scheduler.runTime(work);
+    const within = work.deadline - now - this.#scheduler.estimateRunTime(work);
     const isTriable = avoid !== undefined && avoid.size < MAXIMUM_TRIES;
     const wait = isTriable ? this.#budgetOf(work).take(within, random) : null;
     if (wait === null) {
@@ -104,7 +104,7 @@
     this.#do(this.#scheduler.advance(this.#host.now));
     for (const [work, use] of this.#uses) {
       const isAside =
-        this.#scheduler.targets.standing(use.target) === Standing.SetAside;
+        this.#scheduler.targets.healthOf(use.target) === TargetHealth.SetAside;
       if (isAside && use.lastTokenAt === null) {
         this.#host.recall(work);
         this.failed(work);
@@ -113,7 +113,7 @@
   }
 
   /** The work as routing sees it. */
-  protected routed(work: IWork): IWork {
+  protected routed(work: IWorkItem): IWorkItem {
     return work;
   }
 
@@ -130,12 +130,12 @@
     }
   }
 
-  #giveUp(work: IWork): void {
+  #giveUp(work: IWorkItem): void {
     this.#host.refuse(work, RETRY_AFTER);
     this.finished(work, null);
   }
 
-  #send(work: IWork): boolean {
+  #send(work: IWorkItem): boolean {
     const avoid = this.#avoid.get(work) ?? new Set<string>();
     const { now, random } = this.#host;
     const { targets } = this.#scheduler;
@@ -145,20 +145,20 @@
       return false;
     }
     avoid.add(target);
-    this.#uses.set(work, targets.begin(target, routed, now));
+    this.#uses.set(work, targets.startRequest(target, routed, now));
     this.#host.send(work, target);
     return true;
   }
 
-  #end(work: IWork): void {
+  #end(work: IWorkItem): void {
     const use = this.#uses.get(work);
     if (use !== undefined) {
-      this.#scheduler.targets.end(use, this.#host.now);
+      this.#scheduler.targets.endRequest(use, this.#host.now);
       this.#uses.delete(work);
     }
   }
 
-  #budgetOf(work: IWork): RetryBudget {
+  #budgetOf(work: IWorkItem): RetryBudget {
     const budget = this.#budgets.get(work.account) ?? new RetryBudget();
     this.#budgets.set(work.account, budget);
     return budget;
@@ -167,7 +167,7 @@
 
 /** The decisions, but blind to what prompts have in common. */
 export class WithoutAffinity extends Scheduled {
-  protected override routed(work: IWork): IWork {
+  protected override routed(work: IWorkItem): IWorkItem {
     return { ...work, prefix: "" };
   }
 }
@@ -175,8 +175,8 @@
 /** FIFO without limit: all work is sent at once, and retried at once. */
 abstract class Unlimited implements IPolicy {
   readonly host: IPolicyHost;
-  targets: readonly ITargetState[] = [];
-  readonly #tries = new Map<IWork, number>();
+  targets: readonly ITargetLoadReport[] = [];
+  readonly #tries = new Map<IWorkItem, number>();
 
   constructor(host: IPolicyHost) {
     this.host = host;
@@ -184,7 +184,7 @@
 
   abstract choose(): string | null;
 
-  arrive(work: IWork): void {
+  arrive(work: IWorkItem): void {
     const target = this.choose();
     if (target === null) {
       this.host.refuse(work, RETRY_AFTER);
@@ -194,17 +194,17 @@
     this.host.send(work, target);
   }
 
-  report(targets: readonly ITargetState[]): void {
+  report(targets: readonly ITargetLoadReport[]): void {
     this.targets = targets;
   }
 
-  tokens(_work: IWork): void {}
+  tokens(_work: IWorkItem): void {}
 
-  finished(work: IWork, _tokens: number | null): void {
+  finished(work: IWorkItem, _tokens: number | null): void {
     this.#tries.delete(work);
   }
 
-  failed(work: IWork): void {
+  failed(work: IWorkItem): void {
     if ((this.#tries.get(work) ?? 0) < MAXIMUM_TRIES) {
       this.arrive(work);
     } else {
@@ -229,7 +229,7 @@
 /** The target with the least in flight by its last report. */
 export class LeastReported extends Unlimited {
   override choose(): string | null {
-    let best: ITargetState | null = null;
+    let best: ITargetLoadReport | null = null;
     for (const target of this.targets) {
       if (best === null || target.reported < best.reported) {
         best = target;
--- a/bench/decisions/routing_cost.ts
+++ b/bench/decisions/routing_cost.ts
@@ -1,7 +1,7 @@
 /** What one routing decision costs. */
-import { RunTime } from "../../src/common/decisions/run_time.ts";
-import { TargetBook } from "../../src/common/decisions/target_book.ts";
-import type { IWork } from "../../src/common/decisions/work.ts";
+import { RunTimeEstimator } from "../../src/common/decisions/run_time_estimator.ts";
+import { TargetTracker } from "../../src/common/decisions/target_tracker.ts";
+import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 import { seeded } from "./world.ts";
 
 const DECISIONS = 100_000;
@@ -10,14 +10,14 @@
 /** Microseconds for one decision over so many targets. */
 export function routingCost(targets: number): number {
   const random = seeded(SEED);
-  const book = new TargetBook(new RunTime());
+  const book = new TargetTracker(new RunTimeEstimator());
   const states = Array.from({ length: targets }, (_, index) => ({
     id: `target-${index}`,
     reported: Math.floor(random() * 8),
     describes: 0,
   }));
-  book.report({ targets: states, daemons: 1 }, 1_000);
-  const work: IWork = {
+  book.update({ targets: states, daemons: 1 }, 1_000);
+  const work: IWorkItem = {
     id: "request",
     account: "desk",
     priority: 5,
--- a/bench/decisions/trace.ts
+++ b/bench/decisions/trace.ts
@@ -1,9 +1,9 @@
 /** Requests to play, made from a seed. */
-import type { IWork } from "../../src/common/decisions/work.ts";
+import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 
 /** A request and how many tokens its answer really has. */
 export interface ITraceEntry {
-  readonly work: IWork;
+  readonly work: IWorkItem;
   readonly tokens: number;
 }
 
--- a/bench/decisions/world.ts
+++ b/bench/decisions/world.ts
@@ -1,7 +1,7 @@
 /** Plays a trace through daemons and targets on a fake clock. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import type { IWork } from "../../src/common/decisions/work.ts";
+import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 import { EventQueue } from "./event_queue.ts";
 import { Behaviour, FakeTarget } from "./fake_target.ts";
 import type { IPolicy, IPolicyHost } from "./policies.ts";
@@ -57,7 +57,7 @@
   readonly #scenario: IScenario;
   readonly #random: () => number;
   readonly #policies: readonly IPolicy[];
-  readonly #open = new Map<IWork, IOpen>();
+  readonly #open = new Map<IWorkItem, IOpen>();
   readonly #reports: { reported: number; describes: number }[];
 
   constructor(scenario: IScenario, create: (host: IPolicyHost) => IPolicy) {
@@ -177,7 +177,7 @@
     };
   }
 
-  #send(work: IWork, id: string): void {
+  #send(work: IWorkItem, id: string): void {
     const open = this.#open.get(work);
     const target = this.targets.find((entry) => entry.id === id);
     if (open === undefined || target === undefined) {
@@ -235,7 +235,7 @@
   }
 
   /** The deadline has passed: the caller leaves with nothing. */
-  #leave(work: IWork): void {
+  #leave(work: IWorkItem): void {
     const open = this.#open.get(work);
     if (open === undefined) {
       return;
@@ -249,7 +249,7 @@
     open.policy.finished(work, null);
   }
 
-  #refuse(work: IWork): void {
+  #refuse(work: IWorkItem): void {
     const open = this.#open.get(work);
     if (open === undefined) {
       return;
@@ -262,7 +262,7 @@
     }
   }
 
-  #resultsFor(work: IWork): readonly Results[] {
+  #resultsFor(work: IWorkItem): readonly Results[] {
     return [this.all, this.resultsOf(work.account)];
   }
 }
--- a/bench/digests_bench.ts
+++ b/bench/digests_bench.ts
@@ -8,12 +8,12 @@
 import { peerApi } from "../src/adapters/peers/peer_api.ts";
 import { writeRow } from "../src/adapters/peers/peer_messages.ts";
 import { XxhashHash } from "../src/adapters/hash/xxhash_hash.ts";
-import { DigestBoard } from "../src/common/membership/digest_board.ts";
+import { DigestTable } from "../src/common/membership/digest_table.ts";
 import type {
   IDigestRow,
   IHeldRow,
 } from "../src/common/membership/digest_types.ts";
-import { chooseSource } from "../src/common/membership/digest_ring.ts";
+import { choosePullSource } from "../src/common/membership/digest_ring.ts";
 import { chooseByRendezvous } from "../src/common/membership/rendezvous.ts";
 import { TargetState } from "../src/common/types.ts";
 import type { ISeenReport } from "../src/common/types.ts";
@@ -44,7 +44,7 @@
 
 interface IDaemon {
   readonly name: string;
-  readonly board: DigestBoard;
+  readonly board: DigestTable;
   readonly own: readonly number[];
   readonly phase: number;
 }
@@ -124,12 +124,12 @@
       );
       polls += daemon.own.length;
       const others = names.filter((name) => name !== daemon.name);
-      const chosen = chooseSource(others, { self: daemon.name, round });
+      const chosen = choosePullSource(others, { self: daemon.name, round });
       const peer = daemons.find(({ name }) => name === chosen)!;
-      const held = options.isWhole ? [] : daemon.board.held(now);
-      const rows = peer.board.answer(held, now);
+      const held = options.isWhole ? [] : daemon.board.heldRows(now);
+      const rows = peer.board.fresherRows(held, now);
       bytes += round < SETTLE_ROUNDS ? 0 : encodedBytes(held, rows);
-      daemon.board.take(rows, now);
+      daemon.board.merge(rows, now);
     }
     if (round >= SETTLE_ROUNDS) {
       ages.push(...collectAges(daemons, (round + 1) * PERIOD));
@@ -166,7 +166,7 @@
   return names
     .map((name) => ({
       name,
-      board: new DigestBoard(hash.hash(name)),
+      board: new DigestTable(hash.hash(name)),
       own: own.get(name) ?? [],
       phase: random.next() * PERIOD,
     }))
--- a/bench/placing/cases.ts
+++ b/bench/placing/cases.ts
@@ -1,5 +1,5 @@
 /** Loads to place: a small and a large model by the published figures. */
-import type { IEngineModel, IModel } from "../../src/common/calls/types.ts";
+import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
 import type { IPlacingCase } from "./placing_trial.ts";
 
 const LARGE: IModel = {
@@ -19,7 +19,7 @@
   warmTime: 1_100,
 };
 
-const ENGINE: IEngineModel = {
+const ENGINE: IEngineProfile = {
   models: [LARGE, SMALL],
   slots: 12,
   memoryTokens: 1_300_000,
@@ -75,7 +75,7 @@
 }
 
 /** Engines whose slots outlast what they can read at once. */
-const MANY_SLOTS: IEngineModel = {
+const MANY_SLOTS: IEngineProfile = {
   ...ENGINE,
   slots: 26,
   stepTime: 6.45,
--- a/bench/placing/engine_group.ts
+++ b/bench/placing/engine_group.ts
@@ -2,8 +2,8 @@
  * A replica group by the published step model: passes of `stride` token steps,
  * in which up to one chunk of prompts is read a step.
  */
-import { readTime, stepTime } from "../../src/common/calls/engine_timing.ts";
-import type { IEngineModel, IModel } from "../../src/common/calls/types.ts";
+import { prefillMs, stepTime } from "../../src/common/calls/engine_timing.ts";
+import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
 import type { EventQueue } from "../decisions/event_queue.ts";
 
 /** A request in the group. */
@@ -21,7 +21,7 @@
 /** Passes one after the other while there is work. */
 export class EngineGroup {
   readonly name: string;
-  readonly #engine: IEngineModel;
+  readonly #engine: IEngineProfile;
   readonly #model: IModel;
   readonly #queue: EventQueue;
   /** Milliseconds before the first event that no work of others explains. */
@@ -33,7 +33,7 @@
   constructor(
     name: string,
     kind: {
-      readonly engine: IEngineModel;
+      readonly engine: IEngineProfile;
       readonly model: IModel;
       readonly entryTime: number;
     },
@@ -64,7 +64,7 @@
   }
 
   #reading({ prompt, read }: IPlacedRequest): number {
-    return readTime(this.#engine, prompt - read) * this.#model.pace;
+    return prefillMs(this.#engine, prompt - read) * this.#model.pace;
   }
 
   #start(): void {
@@ -113,7 +113,7 @@
       if (tokens > 0) {
         one.read += tokens;
         left -= tokens;
-        time += readTime(this.#engine, tokens) * this.#model.pace;
+        time += prefillMs(this.#engine, tokens) * this.#model.pace;
       }
     }
     return time;
--- a/bench/placing/placing_trial.ts
+++ b/bench/placing/placing_trial.ts
@@ -1,7 +1,7 @@
 /** One trial of placing: several processes send to groups they know in part. */
 import type { IGroupLoad } from "../../src/common/calls/group_choice.ts";
-import { readTime } from "../../src/common/calls/engine_timing.ts";
-import type { IEngineModel, IModel } from "../../src/common/calls/types.ts";
+import { prefillMs } from "../../src/common/calls/engine_timing.ts";
+import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
 import { SeededRandom } from "../../test/support/seeded_random.ts";
 import { EventQueue } from "../decisions/event_queue.ts";
 import { EngineGroup } from "./engine_group.ts";
@@ -17,7 +17,7 @@
 export interface IPlacingOptions {
   readonly processes: number;
   /** Milliseconds of unread prompts behind which a call can be on time. */
-  readonly readingBudget: number;
+  readonly prefillBudget: number;
   readonly chance: () => number;
 }
 
@@ -30,7 +30,7 @@
 /** What is played. */
 export interface IPlacingCase {
   readonly name: string;
-  readonly engine: IEngineModel;
+  readonly engine: IEngineProfile;
   readonly model: IModel;
   readonly groups: number;
   readonly processes: number;
@@ -170,7 +170,7 @@
     const known = this.#groups.map((group) => this.#known(group, view));
     const name = this.#policy(known, {
       processes: this.#case.processes,
-      readingBudget: this.#case.objective - ENTRY_TIME,
+      prefillBudget: this.#case.objective - ENTRY_TIME,
       chance: () => this.#random.next(),
     });
     const group = this.#groups.find((one) => one.name === name);
@@ -222,9 +222,9 @@
       zone: "one",
       pace: 1,
       slots: this.#case.engine.slots,
-      own: view?.own.get(name) ?? 0,
-      others: view?.others.get(name) ?? 0,
-      ownReading: view?.reading.get(name) ?? 0,
+      ownInFlight: view?.own.get(name) ?? 0,
+      othersInFlight: view?.others.get(name) ?? 0,
+      ownPrefillTime: view?.reading.get(name) ?? 0,
       trueInFlight: this.#views.reduce(
         (sum, { own }) => sum + (own.get(name) ?? 0),
         0,
@@ -238,7 +238,7 @@
 
   #readTime(prompt: number): number {
     const { engine, model } = this.#case;
-    return readTime(engine, prompt) * model.pace;
+    return prefillMs(engine, prompt) * model.pace;
   }
 
   /** Log-normal round the mean. */
--- a/bench/placing/policies.ts
+++ b/bench/placing/policies.ts
@@ -14,7 +14,7 @@
 
 /** The same, however many prompts are unread. */
 export const unboundedReading: PlacingPolicy = (groups, options) =>
-  spreadOwn(groups, { ...options, readingBudget: Number.POSITIVE_INFINITY });
+  spreadOwn(groups, { ...options, prefillBudget: Number.POSITIVE_INFINITY });
 
 /** The lowest of all known counts, the others' some time old. */
 export const leastInFlight = lowest((group) => inFlightOf(group) / group.slots);
@@ -46,6 +46,6 @@
 }
 
 /** Requests by the counts that a process has. */
-function inFlightOf({ own, others }: IKnownGroup): number {
-  return own + (others ?? 0);
+function inFlightOf({ ownInFlight, othersInFlight }: IKnownGroup): number {
+  return ownInFlight + (othersInFlight ?? 0);
 }
--- a/bench/support/peer_wire.ts
+++ b/bench/support/peer_wire.ts
@@ -4,7 +4,7 @@
 import { peerApi } from "../../src/adapters/peers/peer_api.ts";
 import { writeProbe } from "../../src/adapters/peers/peer_messages.ts";
 import { PlainPeerCredentials } from "../../src/adapters/tls/peer_credentials.ts";
-import type { IPeerAnswers } from "../../src/common/membership/peers.ts";
+import type { IPeerRequestHandler } from "../../src/common/membership/peers.ts";
 import { MemberState } from "../../src/common/membership/types.ts";
 import type { IProbe } from "../../src/common/membership/types.ts";
 import { PlanListName } from "../../src/common/plans/types.ts";
@@ -45,7 +45,9 @@
     message: { from, viewHash: 1, news: [] },
     versions: VERSIONS,
   };
-  const answers = { probed: () => probe } as unknown as IPeerAnswers;
+  const answers = {
+    handleProbe: () => probe,
+  } as unknown as IPeerRequestHandler;
   const plain = new PlainPeerCredentials();
   await using server = new GrpcPeerServer(answers, {
     credentials: plain,
--- a/src/adapters/exchange/holder_link.ts
+++ b/src/adapters/exchange/holder_link.ts
@@ -5,7 +5,7 @@
 import type {
   ExchangeAnswer,
   IHolderLink,
-  IProcessWord,
+  IProcessReport,
 } from "../../common/replicas/exchange.ts";
 import { CallFailureKind } from "../../common/types.ts";
 import type { ICallFailure } from "../../common/types.ts";
@@ -23,7 +23,7 @@
 
   async exchange(
     address: string,
-    word: IProcessWord,
+    word: IProcessReport,
     timeout: number,
   ): Promise<Result<ExchangeAnswer, ICallFailure>> {
     const attempted = `exchange with ${address}`;
--- a/src/adapters/exchange/inner_server.ts
+++ b/src/adapters/exchange/inner_server.ts
@@ -4,7 +4,7 @@
 import { z } from "zod";
 import type {
   ExchangeAnswer,
-  IProcessWord,
+  IProcessReport,
 } from "../../common/replicas/exchange.ts";
 import { addressOfServer } from "../listen.ts";
 
@@ -42,7 +42,7 @@
 
 /** What the server answers with. */
 export interface IInnerAnswers {
-  exchange(word: IProcessWord): Promise<ExchangeAnswer>;
+  exchange(word: IProcessReport): Promise<ExchangeAnswer>;
   metrics(): Promise<string>;
 }
 
@@ -100,7 +100,7 @@
 
 async function readWord(
   request: IncomingMessage,
-): Promise<IProcessWord | null> {
+): Promise<IProcessReport | null> {
   let text = "";
   try {
     for await (const chunk of request as AsyncIterable<Buffer>) {
--- a/src/adapters/peers/grpc_forwarder.ts
+++ b/src/adapters/peers/grpc_forwarder.ts
@@ -6,7 +6,7 @@
   IForwarder,
   TokenBatch,
 } from "../../common/services/forwarding.ts";
-import { notRun, unknown } from "../../common/services/refusal.ts";
+import { notRun, outcomeUnknown } from "../../common/services/refusal.ts";
 import { Outcome, Reason } from "../../common/types.ts";
 import type { IRefusal } from "../../common/types.ts";
 import type { ForwardClient } from "../../generated/cranberryledge/Forward.ts";
@@ -55,7 +55,7 @@
     } catch (error) {
       this.#drop(address, client);
       const detail = `peer ${address}: ${String(error)}`;
-      yield Err(unknown(Reason.TargetLost, detail, LOST_RETRY_AFTER));
+      yield Err(outcomeUnknown(Reason.TargetLost, detail, LOST_RETRY_AFTER));
     } finally {
       signal.removeEventListener("abort", cancel);
       stream.cancel();
@@ -105,6 +105,6 @@
   const reasons = Object.values(Reason);
   const reason =
     reasons.find((known) => known === refusal.reason) ?? Reason.TargetLost;
-  const say = outcome === Outcome.NotRun ? notRun : unknown;
+  const say = outcome === Outcome.NotRun ? notRun : outcomeUnknown;
   return say(reason, detail, retryAfter);
 }
--- a/src/adapters/peers/grpc_peer_server.ts
+++ b/src/adapters/peers/grpc_peer_server.ts
@@ -1,7 +1,7 @@
 /** The listening side of calls between daemons. */
 import { Server, status } from "@grpc/grpc-js";
 import type { sendUnaryData } from "@grpc/grpc-js";
-import type { IPeerAnswers } from "../../common/membership/peers.ts";
+import type { IPeerRequestHandler } from "../../common/membership/peers.ts";
 import type { PlanListName } from "../../common/plans/types.ts";
 import type { PeerHandlers } from "../../generated/cranberryledge/Peer.ts";
 import type { ProbeRequest__Output } from "../../generated/cranberryledge/ProbeRequest.ts";
@@ -30,11 +30,11 @@
 /** Answers peers. */
 export class GrpcPeerServer {
   readonly #server = new Server();
-  readonly #answers: IPeerAnswers;
+  readonly #answers: IPeerRequestHandler;
 
   readonly #credentials: IPeerCredentials;
 
-  constructor(answers: IPeerAnswers, options: IPeerServerOptions) {
+  constructor(answers: IPeerRequestHandler, options: IPeerServerOptions) {
     this.#credentials = options.credentials;
     this.#answers = answers;
     const handlers = this.#handlers();
@@ -86,7 +86,7 @@
       FetchList: (call, reply) =>
         void answerWith(reply, () => {
           const { list } = call.request;
-          const text = answers.text(list as PlanListName);
+          const text = answers.listText(list as PlanListName);
           return text ?? { list, version: 0, text: "" };
         }),
     };
@@ -96,9 +96,9 @@
     const probe = readProbe(request);
     const target = request.throughTo;
     if (target === "") {
-      return writeProbe(this.#answers.probed(probe));
+      return writeProbe(this.#answers.handleProbe(probe));
     }
-    const answer = await this.#answers.probedThrough(probe, target);
+    const answer = await this.#answers.relayProbe(probe, target);
     if (answer.isErr()) {
       throw new Error(answer.error.detail);
     }
--- a/src/adapters/peers/grpc_peers.ts
+++ b/src/adapters/peers/grpc_peers.ts
@@ -8,10 +8,10 @@
 } from "../../common/membership/digest_types.ts";
 import type {
   IPeers,
-  IZonesAnswer,
-  IZonesQuestion,
+  IZonesResponse,
+  IZonesRequest,
 } from "../../common/membership/peers.ts";
-import type { IMemberNews, IProbe } from "../../common/membership/types.ts";
+import type { IMemberUpdate, IProbe } from "../../common/membership/types.ts";
 import type { IListText, PlanListName } from "../../common/plans/types.ts";
 import { CallFailureKind } from "../../common/types.ts";
 import type { ICallFailure } from "../../common/types.ts";
@@ -101,7 +101,7 @@
 
   async synchronize(
     address: string,
-  ): Promise<Result<readonly IMemberNews[], ICallFailure>> {
+  ): Promise<Result<readonly IMemberUpdate[], ICallFailure>> {
     return this.#call(
       address,
       CALL_TIMEOUT,
@@ -125,8 +125,8 @@
 
   async pullZones(
     address: string,
-    question: IZonesQuestion,
-  ): Promise<Result<IZonesAnswer, ICallFailure>> {
+    question: IZonesRequest,
+  ): Promise<Result<IZonesResponse, ICallFailure>> {
     const versions = writeVersions(question.versions);
     const request = { from: { ...question.from }, versions };
     return this.#call(
--- a/src/adapters/peers/peer_messages.ts
+++ b/src/adapters/peers/peer_messages.ts
@@ -3,13 +3,13 @@
   IDigestRow,
   TargetIdentity,
 } from "../../common/membership/digest_types.ts";
-import type { IZoneSummary } from "../../common/membership/zone_links.ts";
-import type { IZonesQuestion } from "../../common/membership/peers.ts";
+import type { IZoneSummary } from "../../common/membership/zone_directory.ts";
+import type { IZonesRequest } from "../../common/membership/peers.ts";
 import { MemberState } from "../../common/membership/types.ts";
 import type {
   IMember,
   IMemberMessage,
-  IMemberNews,
+  IMemberUpdate,
   IProbe,
 } from "../../common/membership/types.ts";
 import type { PlanListName } from "../../common/plans/types.ts";
@@ -47,12 +47,12 @@
   return value;
 }
 
-export function writeNews(news: IMemberNews) {
+export function writeNews(news: IMemberUpdate) {
   const { member, incarnation, state } = news;
   return { member: { ...member }, incarnation, state: STATES[state] };
 }
 
-export function readNews(news: MemberNews__Output): IMemberNews {
+export function readNews(news: MemberNews__Output): IMemberUpdate {
   return {
     member: readMember(required(news.member)),
     incarnation: news.incarnation,
@@ -154,7 +154,7 @@
 
 export function readQuestion(
   question: PullZonesRequest__Output,
-): IZonesQuestion {
+): IZonesRequest {
   const from = readMember(required(question.from));
   return { from, versions: readVersions(question.versions) };
 }
--- a/src/common/calls/configuration_book.ts
+++ b/src/common/calls/active_configuration.ts
@@ -5,7 +5,7 @@
 import type { Result } from "ts-results-es";
 import type { ILog } from "../services/services.ts";
 import { RouteTable } from "./route_table.ts";
-import type { IConfiguration, IEngineModel, IServiceEntry } from "./types.ts";
+import type { IConfiguration, IEngineProfile, IServiceEntry } from "./types.ts";
 
 /** Reads a configuration object; errors are findings, a line each. */
 export type DecodeConfiguration = (
@@ -13,7 +13,7 @@
 ) => Result<IConfiguration, readonly string[]>;
 
 /** Holds the newest good configuration. */
-export class ConfigurationBook {
+export class ActiveConfiguration {
   readonly #decode: DecodeConfiguration;
   readonly #log: ILog;
   #table: RouteTable | null = null;
@@ -23,7 +23,7 @@
     this.#log = log;
   }
 
-  get table(): RouteTable | null {
+  get routes(): RouteTable | null {
     return this.#table;
   }
 
@@ -32,7 +32,7 @@
   }
 
   /** Services whose engines are arranged in groups. */
-  get engineServices(): readonly (readonly [string, IEngineModel])[] {
+  get engineServices(): readonly (readonly [string, IEngineProfile])[] {
     const services = this.#table?.configuration.services.values() ?? [];
     return [...services].flatMap(({ name, engine }) =>
       engine !== null && engine.models.length > 0
@@ -42,7 +42,7 @@
   }
 
   /** Returns whether another version is in force now. */
-  take(value: unknown): boolean {
+  update(value: unknown): boolean {
     const decoded = this.#decode(value);
     if (decoded.isErr()) {
       for (const finding of decoded.error) {
--- a/src/common/calls/work_rate.ts
+++ b/src/common/calls/demand_estimator.ts
@@ -8,8 +8,8 @@
  * takes the group alone, writing is shared with the rest of the batch.
  */
 import type { MonotonicTime } from "../types.ts";
-import { readTime, stepTime } from "./engine_timing.ts";
-import type { IEngineModel, IModel, ITokenEstimate } from "./types.ts";
+import { prefillMs, stepTime } from "./engine_timing.ts";
+import type { IEngineProfile, IModel, ITokenEstimate } from "./types.ts";
 
 /** Time constant of the rate, milliseconds: some run times. */
 const MEMORY = 4_000;
@@ -21,27 +21,27 @@
 const NEWEST_WEIGHT = 1 / 32;
 
 /** The work of one model in one process. */
-export class WorkRate {
+export class DemandEstimator {
   #rate = 0;
   #countedAt: MonotonicTime | null = null;
   #outputPart = FIRST_OUTPUT_PART;
 
   /** A call has arrived. */
-  arrived(
+  recordCall(
     call: { readonly tokens: ITokenEstimate; readonly now: MonotonicTime },
-    engine: IEngineModel,
+    engine: IEngineProfile,
     model: IModel,
   ): void {
     const output = call.tokens.output * this.#outputPart;
     const step = stepTime(engine, engine.slots, 0);
     const writing = (output * step) / engine.slots;
-    const time = (readTime(engine, call.tokens.prompt) + writing) * model.pace;
+    const time = (prefillMs(engine, call.tokens.prompt) + writing) * model.pace;
     this.#decay(call.now);
     this.#rate += time / MEMORY;
   }
 
   /** An answer was written whole. @param written - tokens */
-  written(written: number, announced: number): void {
+  recordOutput(written: number, announced: number): void {
     if (announced > 0) {
       const part = Math.min(1, written / announced);
       this.#outputPart += (part - this.#outputPart) * NEWEST_WEIGHT;
@@ -49,7 +49,7 @@
   }
 
   /** Groups that are wholly busy with what arrives. */
-  groups(now: MonotonicTime): number {
+  groupsNeeded(now: MonotonicTime): number {
     this.#decay(now);
     return this.#rate;
   }
--- a/src/common/calls/drain_rate.ts
+++ b/src/common/calls/drain_rate.ts
@@ -19,13 +19,13 @@
 export class DrainRate {
   #starts: MonotonicTime[] = [];
 
-  started(now: MonotonicTime): void {
+  recordStart(now: MonotonicTime): void {
     this.#starts.push(now);
     this.#expire(now);
   }
 
   /** Milliseconds until so many have left; infinite while none leave. */
-  timeFor(waiting: number, now: MonotonicTime): number {
+  timeToDrain(waiting: number, now: MonotonicTime): number {
     this.#expire(now);
     const rate = this.#starts.length / WINDOW;
     return rate === 0 ? Number.POSITIVE_INFINITY : waiting / rate;
@@ -33,7 +33,7 @@
 
   /** Milliseconds after which a refused caller finds room. */
   retryAfter(waiting: number, now: MonotonicTime, chance: number): number {
-    const time = Math.min(LONGEST, this.timeFor(waiting, now));
+    const time = Math.min(LONGEST, this.timeToDrain(waiting, now));
     return Math.max(SHORTEST, time * (1 - SPREAD / 2 + SPREAD * chance));
   }
 
--- a/src/common/calls/engine_timing.ts
+++ b/src/common/calls/engine_timing.ts
@@ -1,5 +1,5 @@
 /** What a group's times should be, by the published model of its engine. */
-import type { IEngineModel, IModel, ITokenEstimate } from "./types.ts";
+import type { IEngineProfile, IModel, ITokenEstimate } from "./types.ts";
 
 /** Tokens in a thousand and in a million, as the published figures count. */
 const THOUSAND = 1_000;
@@ -7,7 +7,7 @@
 
 /** Milliseconds of one token step with so many requests writing. */
 export function stepTime(
-  engine: IEngineModel,
+  engine: IEngineProfile,
   running: number,
   contextTokens: number,
 ): number {
@@ -19,7 +19,7 @@
 }
 
 /** Milliseconds to read a prompt by itself. */
-export function readTime(engine: IEngineModel, prompt: number): number {
+export function prefillMs(engine: IEngineProfile, prompt: number): number {
   const pairs = (prompt * prompt) / 2 / MILLION;
   return (
     prompt / engine.promptTokensPerMillisecond +
@@ -28,7 +28,7 @@
 }
 
 /** Milliseconds between two events of a full group that reads no prompt. */
-export function fullBatchGap(engine: IEngineModel, model: IModel): number {
+export function fullBatchGap(engine: IEngineProfile, model: IModel): number {
   const step = stepTime(engine, engine.slots, 0);
   return step * engine.stride * model.pace;
 }
@@ -37,28 +37,31 @@
  * Milliseconds between two events of a full group while one chunk of a prompt
  * is read.
  */
-export function busyGap(engine: IEngineModel, model: IModel): number {
+export function gapDuringPrefill(
+  engine: IEngineProfile,
+  model: IModel,
+): number {
   return fullBatchGap(engine, model) + chunkTime(engine, model);
 }
 
 /** The same in the worst regular case: a chunk is read in each step. */
-export function longestGap(engine: IEngineModel, model: IModel): number {
+export function longestGap(engine: IEngineProfile, model: IModel): number {
   const reading = chunkTime(engine, model) * engine.stride;
   return fullBatchGap(engine, model) + reading;
 }
 
-function chunkTime(engine: IEngineModel, model: IModel): number {
-  return readTime(engine, engine.chunk) * model.pace;
+function chunkTime(engine: IEngineProfile, model: IModel): number {
+  return prefillMs(engine, engine.chunk) * model.pace;
 }
 
 /** Milliseconds from the start of reading to the last token, batch given. */
 export function runTime(
-  engine: IEngineModel,
+  engine: IEngineProfile,
   model: IModel,
   work: { readonly tokens: ITokenEstimate; readonly running: number },
 ): number {
   const { tokens, running } = work;
   const context = tokens.prompt * running;
   const step = stepTime(engine, running, context);
-  return (readTime(engine, tokens.prompt) + step * tokens.output) * model.pace;
+  return (prefillMs(engine, tokens.prompt) + step * tokens.output) * model.pace;
 }
--- a/src/common/calls/event_splitter.ts
+++ b/src/common/calls/event_splitter.ts
@@ -29,7 +29,7 @@
   #held: Uint8Array = EMPTY;
 
   /** Whether part of an event is held back. */
-  get hasRest(): boolean {
+  get hasPartialEvent(): boolean {
     return this.#held.length > 0;
   }
 
@@ -38,7 +38,7 @@
   }
 
   /** Takes a piece and returns the events that are whole now. */
-  take(piece: Uint8Array): readonly IWholeEvent[] {
+  push(piece: Uint8Array): readonly IWholeEvent[] {
     const bytes = this.#held.length === 0 ? piece : join(this.#held, piece);
     const events: IWholeEvent[] = [];
     let start = 0;
--- a/src/common/calls/event_splitter_test.ts
+++ b/src/common/calls/event_splitter_test.ts
@@ -14,12 +14,12 @@
   const events: { readonly id: string | null; readonly text: string }[] = [];
   let start = 0;
   for (const place of places) {
-    for (const event of splitter.take(bytes.subarray(start, place))) {
+    for (const event of splitter.push(bytes.subarray(start, place))) {
       events.push({ id: event.id, text: decoder.decode(event.bytes) });
     }
     start = place;
   }
-  return { events, hasRest: splitter.hasRest };
+  return { events, hasRest: splitter.hasPartialEvent };
 }
 
 describe("splitting a stream into events", () => {
--- a/src/common/calls/first_event_time.ts
+++ b/src/common/calls/first_event_time_estimator.ts
@@ -12,16 +12,16 @@
 const SLOWER_WEIGHT = 1 / 40;
 
 /** The quick end of the first events of one model. */
-export class FirstEventTime {
+export class FirstEventTimeEstimator {
   #time: number | null = null;
 
   /** Milliseconds beyond reading; 0 before the first answer. */
-  get time(): number {
+  get estimate(): number {
     return this.#time ?? 0;
   }
 
   /** A first event came. @param time - milliseconds beyond reading */
-  add(time: number): void {
+  addSample(time: number): void {
     if (this.#time === null) {
       this.#time = time;
       return;
--- a/src/common/calls/group_choice.ts
+++ b/src/common/calls/group_choice.ts
@@ -21,23 +21,23 @@
   readonly group: string;
   readonly zone: ZoneName;
   /** This process's own requests in it. */
-  readonly own: number;
+  readonly ownInFlight: number;
   /** The others' as last told; null while nothing is heard of them. */
-  readonly others: number | null;
+  readonly othersInFlight: number | null;
   /** Milliseconds of own prompts in it that are not read yet. */
-  readonly ownReading: number;
+  readonly ownPrefillTime: number;
   readonly slots: number;
   /** Factor on its times; over 1 it is slow. */
   readonly pace: number;
 }
 
 /** From where a call is placed. */
-export interface IChoiceOptions {
+export interface IGroupChoiceOptions {
   readonly zone: ZoneName;
   /** Processes that place, this one included. */
   readonly processes: number;
   /** Milliseconds of unread prompts with which a call can still be on time. */
-  readonly readingBudget: number;
+  readonly prefillBudget: number;
   /** In [0, 1), asked once a group. */
   readonly chance: () => number;
 }
@@ -71,7 +71,7 @@
 /** The group to send to; null when all are full. */
 export function chooseGroup<T extends IGroupLoad>(
   groups: readonly T[],
-  options: IChoiceOptions,
+  options: IGroupChoiceOptions,
 ): T | null {
   let best: T | null = null;
   let lowest = Number.POSITIVE_INFINITY;
@@ -89,17 +89,17 @@
 }
 
 /** Whether a group has no slot for this process. */
-function isFull(group: IGroupLoad, options: IChoiceOptions): boolean {
+function isFull(group: IGroupLoad, options: IGroupChoiceOptions): boolean {
   const { processes } = options;
-  const { own, others, slots } = group;
+  const { ownInFlight, othersInFlight, slots } = group;
   if (isReadingFull(group, options)) {
     return true;
   }
-  if (others === null) {
+  if (othersInFlight === null) {
     const share = (slots / Math.max(1, processes)) * UNHEARD_SHARE;
-    return own >= Math.max(FEWEST_UNHEARD_SLOTS, Math.ceil(share));
+    return ownInFlight >= Math.max(FEWEST_UNHEARD_SLOTS, Math.ceil(share));
   }
-  return own + others >= slots;
+  return ownInFlight + othersInFlight >= slots;
 }
 
 /**
@@ -107,17 +107,17 @@
  * by even spreading they are as many as this process's own.
  */
 function isReadingFull(
-  { ownReading }: IGroupLoad,
-  { processes, readingBudget }: IChoiceOptions,
+  { ownPrefillTime }: IGroupLoad,
+  { processes, prefillBudget }: IGroupChoiceOptions,
 ): boolean {
-  return ownReading * Math.max(1, processes) > readingBudget;
+  return ownPrefillTime * Math.max(1, processes) > prefillBudget;
 }
 
-function scoreOf(group: IGroupLoad, options: IChoiceOptions): number {
+function scoreOf(group: IGroupLoad, options: IGroupChoiceOptions): number {
   const { zone, processes, chance } = options;
   const handicap = group.zone === zone ? 0 : OTHER_ZONE_HANDICAP;
-  const load = (group.own * Math.max(1, processes)) / group.slots;
-  const reading = group.ownReading / READING_SCALE;
+  const load = (group.ownInFlight * Math.max(1, processes)) / group.slots;
+  const reading = group.ownPrefillTime / READING_SCALE;
   const slowness = group.pace >= SLOW_PACE ? options.processes : 0;
   return load + reading + slowness + handicap + chance() * SPREAD;
 }
--- a/src/common/calls/group_choice_test.ts
+++ b/src/common/calls/group_choice_test.ts
@@ -20,9 +20,9 @@
   return {
     group: name,
     zone: "one",
-    own: 1,
-    others: 4,
-    ownReading: 0,
+    ownInFlight: 1,
+    othersInFlight: 4,
+    ownPrefillTime: 0,
     pace: 1,
     slots: 12,
     ...part,
@@ -33,7 +33,7 @@
   const options = {
     zone: "one",
     processes: 6,
-    readingBudget: 250,
+    prefillBudget: 250,
     chance: () => 0,
   };
   return chooseGroup(groups, options)?.group;
@@ -53,29 +53,40 @@
   }
 
   it("takes the group with the fewest own calls", () => {
-    const groups = [group("a", { own: 2 }), group("b", { others: 9 })];
+    const groups = [
+      group("a", { ownInFlight: 2 }),
+      group("b", { othersInFlight: 9 }),
+    ];
     expect(choose(groups)).to.equal("b");
   });
 
   it("leaves out what is full", () => {
-    const groups = [group("a", { own: 2 }), group("b", { others: 11 })];
+    const groups = [
+      group("a", { ownInFlight: 2 }),
+      group("b", { othersInFlight: 11 }),
+    ];
     expect(choose(groups)).to.equal("a");
-    expect(choose([group("b", { others: 11 })])).to.equal(undefined);
+    expect(choose([group("b", { othersInFlight: 11 })])).to.equal(undefined);
   });
 
   // All processes were killed and start again together, and all callers come
   // back. None knows yet what the others send; each fills the whole group, and
   // the first words come seconds late for all of them.
   it("takes few slots while nothing is heard of the others", () => {
-    const unheard = { others: null };
-    expect(choose([group("a", { ...unheard, own: 2 })])).to.equal("a");
-    expect(choose([group("a", { ...unheard, own: 3 })])).to.equal(undefined);
+    const unheard = { othersInFlight: null };
+    expect(choose([group("a", { ...unheard, ownInFlight: 2 })])).to.equal("a");
+    expect(choose([group("a", { ...unheard, ownInFlight: 3 })])).to.equal(
+      undefined,
+    );
   });
 
   // Prompts are read one after the other: behind a long one the first words
   // come late although the group has room.
   it("avoids a group that still reads this process's prompts", () => {
-    const groups = [group("a", { ownReading: 20 }), group("b", { own: 1 })];
+    const groups = [
+      group("a", { ownPrefillTime: 20 }),
+      group("b", { ownInFlight: 1 }),
+    ];
     expect(choose(groups)).to.equal("b");
   });
 
@@ -83,8 +94,8 @@
   // on at once, each waits behind the others and every answer is late; with
   // some of them held back, others are on time.
   it("leaves a call waiting rather than behind many prompts", () => {
-    expect(choose([group("a", { ownReading: 40 })])).to.equal("a");
-    expect(choose([group("a", { ownReading: 50 })])).to.equal(undefined);
+    expect(choose([group("a", { ownPrefillTime: 40 })])).to.equal("a");
+    expect(choose([group("a", { ownPrefillTime: 50 })])).to.equal(undefined);
     const bounded = playPlacing(pressedCase(), spreadOwn, SEED);
     const unbounded = playPlacing(pressedCase(), unboundedReading, SEED);
     expect(bounded).to.be.below(unbounded);
@@ -92,9 +103,9 @@
 
   // A member of a group turned slow, and the whole group with it.
   it("takes a slow group only when no other has room", () => {
-    const slow = group("a", { own: 0, pace: 3 });
-    expect(choose([slow, group("b", { own: 3 })])).to.equal("b");
-    expect(choose([slow, group("b", { others: 11 })])).to.equal("a");
+    const slow = group("a", { ownInFlight: 0, pace: 3 });
+    expect(choose([slow, group("b", { ownInFlight: 3 })])).to.equal("b");
+    expect(choose([slow, group("b", { othersInFlight: 11 })])).to.equal("a");
     expect(choose([group("a", { pace: 12 })])).to.equal(undefined);
   });
 
--- a/src/common/calls/listed_groups.ts
+++ b/src/common/calls/listed_groups.ts
@@ -4,12 +4,12 @@
  */
 import type { IServingGroup } from "./serving_groups.ts";
 import { ListedState, MemberState } from "./types.ts";
-import type { IEngineModel, IListedTarget } from "./types.ts";
+import type { IEngineProfile, IListedTarget } from "./types.ts";
 
 /** Groups whose head says it is open and whose members are all listed. */
 export function listedGroups(
   targets: readonly IListedTarget[],
-  engine: IEngineModel,
+  engine: IEngineProfile,
 ): readonly IServingGroup[] {
   const members = new Map<string, number>();
   for (const { engine: state, state: listed } of targets) {
--- a/src/common/calls/model_attempts_test.ts
+++ b/src/common/calls/model_attempts_test.ts
@@ -86,25 +86,25 @@
     const { receiver } = this.#send.options;
     if (this.#plan.outcome === Outcome.Failure) {
       this.#isOver = true;
-      receiver.head({ ...HEAD, status: 500 });
-      receiver.ended();
+      receiver.onHead({ ...HEAD, status: 500 });
+      receiver.onEnd();
       return;
     }
     if (this.#events === 0) {
-      receiver.head(HEAD);
+      receiver.onHead(HEAD);
     }
     while (this.#events < LAST_EVENT && age >= this.#events * EVENT_GAP) {
       this.#events += 1;
       this.#play.event(this.#index, this.#events);
       if (this.#plan.outcome === Outcome.Reset && this.#events > 1) {
         this.#isOver = true;
-        receiver.failed(SendFailure.Broken, "reset");
+        receiver.onFailure(SendFailure.Broken, "reset");
         return;
       }
     }
     if (this.#events === LAST_EVENT) {
       this.#isOver = true;
-      receiver.ended();
+      receiver.onEnd();
     }
   }
 }
--- a/src/common/calls/model_call_record.ts
+++ b/src/common/calls/model_call_recorder.ts
@@ -15,7 +15,7 @@
 }
 
 /** Writes one line a call, and counts it. */
-export class ModelCallRecord {
+export class ModelCallRecorder {
   readonly #log: ILog;
   readonly #metrics: IMetrics;
 
@@ -24,7 +24,7 @@
     this.#metrics = metrics;
   }
 
-  ended(run: ModelRun, { outcome, fields, now }: IModelCallEnd): void {
+  recordEnd(run: ModelRun, { outcome, fields, now }: IModelCallEnd): void {
     const { arrivedAt, route } = run.call;
     const { firstSentAt, firstEventAt, longestPause } = run.times;
     this.#observe(run, now);
@@ -40,7 +40,7 @@
       first_event_ms: since(arrivedAt, firstEventAt),
       longest_pause_ms: Math.round(longestPause),
       took_ms: since(arrivedAt, now),
-      sends: run.sends,
+      sends: run.sendCount,
       ...fields,
     };
     if (outcome === WHOLE) {
--- a/src/common/calls/model_calls.ts
+++ b/src/common/calls/model_calls.ts
@@ -1,21 +1,21 @@
 /** Sends model calls to replica groups, and on to others where one fails. */
 import type { IClock, ILog, IMetrics, IRandom } from "../services/services.ts";
 import type { MonotonicTime, ZoneName } from "../types.ts";
-import { busyGap, longestGap } from "./engine_timing.ts";
+import { gapDuringPrefill, longestGap } from "./engine_timing.ts";
 import { chooseGroup } from "./group_choice.ts";
-import { ModelCallRecord, WHOLE } from "./model_call_record.ts";
-import { keyOf, ModelLanes } from "./model_lanes.ts";
-import type { IModelLane } from "./model_lanes.ts";
-import { workOf, workOfBegun } from "./model_queue.ts";
+import { ModelCallRecorder, WHOLE } from "./model_call_recorder.ts";
+import { modelKey, ModelStates } from "./model_states.ts";
+import type { IModelState } from "./model_states.ts";
+import { queueItemOf, startedQueueItemOf } from "./model_queue.ts";
 import type { ModelQueue } from "./model_queue.ts";
-import { ModelRun, SendEnd } from "./model_run.ts";
+import { ModelRun, SendOutcome } from "./model_run.ts";
 import type { IModelRunOwner } from "./model_run.ts";
-import type { RepeatBook } from "./repeat_book.ts";
+import type { ServiceRetryAllowances } from "./service_retry_allowances.ts";
 import type { ServingGroups } from "./serving_groups.ts";
 import type { ILoadedGroup } from "./serving_groups.ts";
-import { StallWatch } from "./stall_watch.ts";
-import { ZoneReach } from "./zone_reach.ts";
-import { CallEnd, CallReason } from "./types.ts";
+import { StallDetector } from "./stall_detector.ts";
+import { ZoneReachability } from "./zone_reachability.ts";
+import { CallRefusalKind, CallRefusalReason } from "./types.ts";
 import type { ICall, ICallReply, ICallSender, IServiceEntry } from "./types.ts";
 
 /** How often silences and deadlines are looked at, milliseconds. */
@@ -28,7 +28,7 @@
 const MOST_LOST_GROUPS = 500;
 
 /** What one process's calls ask of a model. */
-export interface IModelWork {
+export interface IModelDemand {
   readonly service: string;
   readonly model: string;
   /** Groups that are wholly busy with the calls that arrive. */
@@ -41,7 +41,7 @@
 export interface IModelCallParts {
   readonly groups: ServingGroups;
   readonly sender: ICallSender;
-  readonly repeats: RepeatBook;
+  readonly retries: ServiceRetryAllowances;
   readonly service: (name: string) => IServiceEntry | null;
   readonly clock: IClock;
   readonly random: IRandom;
@@ -51,52 +51,52 @@
   /** Processes that place calls, as far as is known. */
   readonly processes: () => number;
   /** Groups were found standing still. */
-  readonly onSuspected: () => void;
+  readonly onGroupsSuspected: () => void;
 }
 
 /** All model calls of one process. */
 export class ModelCalls implements IModelRunOwner {
   readonly #parts: IModelCallParts;
-  readonly #lanes: ModelLanes;
-  readonly #record: ModelCallRecord;
-  readonly #stalls = new StallWatch();
-  readonly #reach: ZoneReach;
+  readonly #lanes: ModelStates;
+  readonly #record: ModelCallRecorder;
+  readonly #stalls = new StallDetector();
+  readonly #reach: ZoneReachability;
   readonly #sent = new Set<ModelRun>();
   /** Groups given up of late; their names are not used again. */
   readonly #lost = new Set<string>();
 
   constructor(parts: IModelCallParts) {
     this.#parts = parts;
-    this.#lanes = new ModelLanes(parts.service);
-    this.#record = new ModelCallRecord(parts.log, parts.metrics);
-    this.#reach = new ZoneReach(parts.zone);
+    this.#lanes = new ModelStates(parts.service);
+    this.#record = new ModelCallRecorder(parts.log, parts.metrics);
+    this.#reach = new ZoneReachability(parts.zone);
   }
 
   /** Groups that this process found standing still. */
-  get suspects(): readonly string[] {
-    return this.#stalls.suspects(this.#now);
+  get suspectedGroups(): readonly string[] {
+    return this.#stalls.suspectedGroups(this.#now);
   }
 
   /** What this process's calls ask of each model. */
-  get work(): readonly IModelWork[] {
+  get demand(): readonly IModelDemand[] {
     const now = this.#now;
-    return this.#lanes.all.map(({ service, model, rate, queue }) => ({
+    return this.#lanes.all.map(({ service, model, demand, queue }) => ({
       service,
       model,
-      groups: rate.groups(now),
+      groups: demand.groupsNeeded(now),
       waiting: queue.size,
     }));
   }
 
   /** Returns what to do when the caller leaves. */
-  take(call: ICall, reply: ICallReply): () => void {
-    const run = new ModelRun({ call, reply, work: workOf(call) }, this);
+  submit(call: ICall, reply: ICallReply): () => void {
+    const run = new ModelRun({ call, reply, work: queueItemOf(call) }, this);
     const { clock } = this.#parts;
     const left = call.deadline - this.#now;
     run.deadlineTimer = clock.after(left, () => this.#timedOut(run));
-    this.#lanes.arrived(call, this.#now);
+    this.#lanes.recordArrival(call, this.#now);
     this.#wait(run);
-    this.#place(this.#lanes.of(call));
+    this.#place(this.#lanes.getOrCreate(call));
     return () => this.#callerLeft(run);
   }
 
@@ -105,11 +105,11 @@
    *
    * @param lost - groups given up by the lease holder: nothing begins there
    */
-  groupsChanged(lost: readonly string[]): void {
+  handleGroupsChanged(lost: readonly string[]): void {
     this.#noteLost(lost);
     if (lost.length > 0) {
       for (const run of [...this.#sent]) {
-        if (lost.includes(run.current?.group.group ?? "")) {
+        if (lost.includes(run.currentSend?.group.group ?? "")) {
           this.#moveOn(run, { isSilent: false });
         }
       }
@@ -123,25 +123,25 @@
   check(): void {
     const now = this.#now;
     const stalls = this.#stalls.check(now);
-    const silent = new Set(stalls.streams);
+    const silent = new Set(stalls.stalledStreams);
     if (silent.size > 0) {
       for (const run of [...this.#sent]) {
-        if (run.current !== null && silent.has(run.current.watched)) {
+        if (run.currentSend !== null && silent.has(run.currentSend.stream)) {
           this.#moveOn(run, { isSilent: true });
         }
       }
     }
     const all = this.#parts.groups.all;
-    for (const group of stalls.groups) {
+    for (const group of stalls.suspectedGroups) {
       const zone = all.find((one) => one.group === group)?.zone;
       if (zone !== undefined) {
-        this.#reach.missed(zone, group, now);
+        this.#reach.recordUnreachable(zone, group, now);
       }
       this.#parts.metrics.count("stalled_groups");
       this.#parts.log.warn("group_suspected", { group });
     }
-    if (stalls.groups.length > 0) {
-      this.#parts.onSuspected();
+    if (stalls.suspectedGroups.length > 0) {
+      this.#parts.onGroupsSuspected();
     }
     for (const lane of this.#lanes.all) {
       this.#place(lane);
@@ -149,43 +149,43 @@
     }
   }
 
-  isLost(group: string): boolean {
+  isLostGroup(group: string): boolean {
     return this.#lost.has(group);
   }
 
-  heard(run: ModelRun): void {
+  onEvents(run: ModelRun): void {
     const now = this.#now;
-    const { times, current } = run;
+    const { times, currentSend } = run;
     times.firstEventAt ??= now;
     const pause = now - (times.lastEventAt ?? now);
     times.longestPause = Math.max(times.longestPause, pause);
     times.lastEventAt = now;
-    if (current !== null) {
-      const { watched, sentAt, group } = current;
-      if (watched.heardAt === null) {
-        const time = now - sentAt - watched.readTime;
-        this.#lanes.of(run.call).firstEvents.add(time);
-        this.#parts.groups.read(group.group, watched.readTime);
+    if (currentSend !== null) {
+      const { stream, sentAt, group } = currentSend;
+      if (stream.lastEventAt === null) {
+        const time = now - sentAt - stream.prefillTime;
+        this.#lanes.getOrCreate(run.call).firstEventTime.addSample(time);
+        this.#parts.groups.recordPrefillEnd(group.group, stream.prefillTime);
       }
-      this.#reach.heard(group.zone);
-      this.#stalls.heard(watched, now);
+      this.#reach.recordEvent(group.zone);
+      this.#stalls.recordEvent(stream, now);
     }
   }
 
-  sendEnded(run: ModelRun, end: SendEnd, detail: string): void {
-    const { group = "", zone = "" } = run.current?.group ?? {};
+  onSendEnded(run: ModelRun, end: SendOutcome, detail: string): void {
+    const { group = "", zone = "" } = run.currentSend?.group ?? {};
     this.#release(run);
-    if (end === SendEnd.Whole) {
+    if (end === SendOutcome.Whole) {
       const stride = this.#lanes.engineOf(run.call)?.engine.stride ?? 0;
-      const written = run.events * stride;
-      const { rate } = this.#lanes.of(run.call);
-      rate.written(written, run.call.tokens.output);
+      const written = run.eventCount * stride;
+      const { demand } = this.#lanes.getOrCreate(run.call);
+      demand.recordOutput(written, run.call.tokens.output);
       this.#finish(run, WHOLE, { group, detail });
       run.reply.end();
     } else {
-      this.#stalls.distrust(group, this.#now);
-      if (end === SendEnd.Missed) {
-        this.#reach.missed(zone, group, this.#now);
+      this.#stalls.suspect(group, this.#now);
+      if (end === SendOutcome.NotDelivered) {
+        this.#reach.recordUnreachable(zone, group, this.#now);
       }
       this.#parts.log.info("send_failed", {
         request: run.call.id,
@@ -195,7 +195,7 @@
       });
       this.#goOn(run, end);
     }
-    this.#place(this.#lanes.of(run.call));
+    this.#place(this.#lanes.getOrCreate(run.call));
   }
 
   #noteLost(lost: readonly string[]): void {
@@ -213,14 +213,14 @@
   }
 
   #wait(run: ModelRun): void {
-    const { queue } = this.#lanes.of(run.call);
+    const { queue } = this.#lanes.getOrCreate(run.call);
     const pushedOut = queue.add(run);
     if (pushedOut !== null) {
-      this.#refuse(pushedOut, CallReason.QueueFull, queue);
+      this.#refuse(pushedOut, CallRefusalReason.QueueFull, queue);
     }
   }
 
-  #place(lane: IModelLane): void {
+  #place(lane: IModelState): void {
     const { service, model, queue } = lane;
     if (queue.size === 0) {
       return;
@@ -230,13 +230,13 @@
     const options = {
       zone,
       processes: processes(),
-      readingBudget: Math.max(0, lane.objective - lane.firstEvents.time),
+      prefillBudget: Math.max(0, lane.objective - lane.firstEventTime.estimate),
       chance: () => random.next(),
     };
     const usable = groups
-      .of(service, model)
-      .filter(({ group }) => !this.#stalls.isSuspect(group, now));
-    queue.hasGroups(usable.length > 0, now);
+      .ofModel(service, model)
+      .filter(({ group }) => !this.#stalls.isSuspected(group, now));
+    queue.setHasGroups(usable.length > 0, now);
     let open: ILoadedGroup[] = [...usable];
     while (queue.size > 0) {
       const inReach = open.filter((one) => this.#reach.mayTry(one.zone, now));
@@ -244,7 +244,7 @@
       if (group === null) {
         return;
       }
-      const run = queue.take(now);
+      const run = queue.takeNext(now);
       if (run === null) {
         return;
       }
@@ -261,23 +261,23 @@
    * has reached no target yet, for want of a connection, repeats nothing.
    */
   #mayRepeat(run: ModelRun): boolean {
-    if (run.sends === 0) {
-      this.#parts.repeats.firstSend(run.call.service, this.#now);
+    if (run.sendCount === 0) {
+      this.#parts.retries.recordFirstSend(run.call.service, this.#now);
       return true;
     }
-    if (!run.hasArrived || this.#hasRepeat(run)) {
-      run.hasRepeat = false;
+    if (!run.mayHaveReachedTarget || this.#hasRepeat(run)) {
+      run.hasRetryGrant = false;
       return true;
     }
-    this.#giveUp(run, CallReason.TargetLost);
+    this.#giveUp(run, CallRefusalReason.TargetLost);
     return false;
   }
 
   /** Whether a repeat was taken from the allowance, now or before. */
   #hasRepeat(run: ModelRun): boolean {
-    const { repeats } = this.#parts;
-    run.hasRepeat ||= repeats.take(run.call.service, this.#now);
-    return run.hasRepeat;
+    const { retries } = this.#parts;
+    run.hasRetryGrant ||= retries.tryTake(run.call.service, this.#now);
+    return run.hasRetryGrant;
   }
 
   #send(run: ModelRun, group: ILoadedGroup): void {
@@ -286,21 +286,23 @@
     const engine = this.#lanes.engineOf(call);
     const watched = {
       group: group.group,
-      model: keyOf(call),
-      busyGap: engine ? busyGap(engine.engine, engine.model) : 0,
+      model: modelKey(call),
+      gapDuringPrefill: engine
+        ? gapDuringPrefill(engine.engine, engine.model)
+        : 0,
       longestGap: engine ? longestGap(engine.engine, engine.model) : 0,
-      readTime: this.#lanes.readTime(call),
+      prefillTime: this.#lanes.prefillTime(call),
       sentAt: now,
-      heardAt: null,
+      lastEventAt: null,
     };
     this.#sent.add(run);
-    this.#parts.groups.sent(group.group, watched.readTime);
-    this.#reach.sent(group.zone, now);
-    this.#stalls.sent(watched);
-    run.begin({ group, watched, sentAt: now }, () =>
+    this.#parts.groups.recordSend(group.group, watched.prefillTime);
+    this.#reach.recordSend(group.zone, now);
+    this.#stalls.recordSend(watched);
+    run.startSend({ group, stream: watched, sentAt: now }, () =>
       this.#parts.sender.send(group.head, call, {
         timeLeft: call.deadline - now,
-        lastEvent: run.lastEvent,
+        lastEventId: run.lastEventId,
         onNewConnection: false,
         receiver: run,
       }),
@@ -308,18 +310,18 @@
   }
 
   #release(run: ModelRun): void {
-    const { current } = run;
-    if (current === null) {
+    const { currentSend } = run;
+    if (currentSend === null) {
       return;
     }
-    run.current = null;
+    run.currentSend = null;
     this.#sent.delete(run);
-    const { watched, group } = current;
-    if (watched.heardAt === null) {
-      this.#parts.groups.read(group.group, watched.readTime);
+    const { stream, group } = currentSend;
+    if (stream.lastEventAt === null) {
+      this.#parts.groups.recordPrefillEnd(group.group, stream.prefillTime);
     }
-    this.#parts.groups.done(group.group);
-    this.#stalls.ended(current.watched);
+    this.#parts.groups.recordEnd(group.group);
+    this.#stalls.removeStream(currentSend.stream);
   }
 
   /**
@@ -332,102 +334,106 @@
    */
   #moveOn(run: ModelRun, { isSilent }: { readonly isSilent: boolean }): void {
     const silentFor = Math.round(
-      this.#now - (run.current?.watched.heardAt ?? run.current?.sentAt ?? 0),
+      this.#now -
+        (run.currentSend?.stream.lastEventAt ?? run.currentSend?.sentAt ?? 0),
     );
-    const isLost = this.isLost(run.current?.group.group ?? "");
-    const isUnanswered = !run.reply.isBegun && silentFor > HOPELESS_SILENCE;
+    const isLost = this.isLostGroup(run.currentSend?.group.group ?? "");
+    const isUnanswered = !run.reply.isStarted && silentFor > HOPELESS_SILENCE;
     const isHopeless = isSilent && (isLost || isUnanswered);
-    const mayGoOn = run.mayGoOnAfterAbort && this.#hasRepeat(run);
+    const mayGoOn = run.canRetryAfterAbort && this.#hasRepeat(run);
     if (!mayGoOn && !isHopeless) {
       return;
     }
     this.#parts.log.info("send_silent", {
       request: run.call.id,
-      group: run.current?.group.group,
+      group: run.currentSend?.group.group,
       is_lost: isLost,
       silent_ms: silentFor,
-      last_event: run.lastEvent,
+      last_event: run.lastEventId,
     });
     run.abort();
     this.#release(run);
-    this.#goOn(run, SendEnd.Broken);
+    this.#goOn(run, SendOutcome.Broken);
   }
 
-  #goOn(run: ModelRun, end: SendEnd): void {
-    if (run.isOver) {
+  #goOn(run: ModelRun, end: SendOutcome): void {
+    if (run.isFinished) {
       return;
     }
-    if (run.mayGoOn && this.#now < run.call.deadline) {
-      if (run.reply.isBegun) {
-        run.work = workOfBegun(run.call);
+    if (run.canRetry && this.#now < run.call.deadline) {
+      if (run.reply.isStarted) {
+        run.queueItem = startedQueueItemOf(run.call);
       }
       this.#wait(run);
       return;
     }
-    const isRefused = end === SendEnd.NotRun || end === SendEnd.Missed;
+    const isRefused =
+      end === SendOutcome.NotRun || end === SendOutcome.NotDelivered;
     this.#giveUp(
       run,
-      isRefused ? CallReason.TargetRefused : CallReason.TargetLost,
+      isRefused
+        ? CallRefusalReason.TargetRefused
+        : CallRefusalReason.TargetLost,
     );
   }
 
   #refuseHopeless(queue: ModelQueue): void {
-    const hopeless = queue.takeHopeless(this.#now, (run) =>
+    const hopeless = queue.removeHopeless(this.#now, (run) =>
       this.#lanes.shortestRun(run.call),
     );
     for (const run of hopeless) {
-      this.#refuse(run, CallReason.Hopeless, queue);
+      this.#refuse(run, CallRefusalReason.Hopeless, queue);
     }
   }
 
-  #refuse(run: ModelRun, reason: CallReason, queue: ModelQueue): void {
+  #refuse(run: ModelRun, reason: CallRefusalReason, queue: ModelQueue): void {
     const chance = this.#parts.random.next();
     this.#end(run, reason, queue.retryAfter(this.#now, chance));
   }
 
-  #giveUp(run: ModelRun, reason: CallReason): void {
-    const { queue } = this.#lanes.of(run.call);
+  #giveUp(run: ModelRun, reason: CallRefusalReason): void {
+    const { queue } = this.#lanes.getOrCreate(run.call);
     const chance = this.#parts.random.next();
     this.#end(run, reason, queue.retryAfter(this.#now, chance));
   }
 
-  #end(run: ModelRun, reason: CallReason, retryAfter: number): void {
-    if (run.isOver) {
+  #end(run: ModelRun, reason: CallRefusalReason, retryAfter: number): void {
+    if (run.isFinished) {
       return;
     }
     const end = endOf(run, reason);
     this.#finish(run, end, { reason, retry_after: Math.round(retryAfter) });
-    if (run.reply.isBegun) {
-      run.reply.breakOff();
+    if (run.reply.isStarted) {
+      run.reply.reset();
     } else {
-      run.reply.refuse({ end, reason, retryAfter });
+      run.reply.refuse({ kind: end, reason, retryAfter });
     }
   }
 
   #timedOut(run: ModelRun): void {
-    if (run.isOver) {
+    if (run.isFinished) {
       return;
     }
-    if (run.current !== null) {
+    if (run.currentSend !== null) {
       run.abort();
       this.#release(run);
     }
-    this.#lanes.of(run.call).queue.remove(run);
-    this.#end(run, CallReason.DeadlinePassed, 0);
-    this.#place(this.#lanes.of(run.call));
+    this.#lanes.getOrCreate(run.call).queue.remove(run);
+    this.#end(run, CallRefusalReason.DeadlinePassed, 0);
+    this.#place(this.#lanes.getOrCreate(run.call));
   }
 
   #callerLeft(run: ModelRun): void {
-    if (run.isOver) {
+    if (run.isFinished) {
       return;
     }
-    if (run.current !== null) {
+    if (run.currentSend !== null) {
       run.abort();
       this.#release(run);
     }
-    this.#lanes.of(run.call).queue.remove(run);
+    this.#lanes.getOrCreate(run.call).queue.remove(run);
     this.#finish(run, "caller_left", {});
-    this.#place(this.#lanes.of(run.call));
+    this.#place(this.#lanes.getOrCreate(run.call));
   }
 
   #finish(
@@ -435,28 +441,28 @@
     outcome: string,
     fields: Readonly<Record<string, string | number>>,
   ): void {
-    run.isOver = true;
+    run.isFinished = true;
     run.deadlineTimer?.dispose();
-    this.#record.ended(run, { outcome, fields, now: this.#now });
+    this.#record.recordEnd(run, { outcome, fields, now: this.#now });
   }
 }
 
 /** A group with a call that was just sent to it. */
 function withOneMore(group: ILoadedGroup, run: ModelRun): ILoadedGroup {
-  const readTime = run.current?.watched.readTime ?? 0;
+  const readTime = run.currentSend?.stream.prefillTime ?? 0;
   return {
     ...group,
-    own: group.own + 1,
-    ownReading: group.ownReading + readTime,
+    ownInFlight: group.ownInFlight + 1,
+    ownPrefillTime: group.ownPrefillTime + readTime,
   };
 }
 
 /** Only what no target can have begun is told to have not run. */
-function endOf(run: ModelRun, reason: CallReason): CallEnd {
+function endOf(run: ModelRun, reason: CallRefusalReason): CallRefusalKind {
   if (!run.mayHaveRun) {
-    return CallEnd.NotRun;
+    return CallRefusalKind.NotRun;
   }
-  return reason === CallReason.DeadlinePassed
-    ? CallEnd.TimedOut
-    : CallEnd.TargetFailed;
+  return reason === CallRefusalReason.DeadlinePassed
+    ? CallRefusalKind.TimedOut
+    : CallRefusalKind.TargetFailed;
 }
--- a/src/common/calls/model_calls_test.ts
+++ b/src/common/calls/model_calls_test.ts
@@ -6,15 +6,15 @@
   HEAD,
   ModelCallsPlay as Play,
 } from "../../../test/support/model_calls_play.ts";
-import { CallEnd, CallReason, SendFailure } from "./types.ts";
+import { CallRefusalKind, CallRefusalReason, SendFailure } from "./types.ts";
 
 /** A stream with one event, whose group is then given up; returns its reply. */
 function beginAndLoseGroup(play: Play): KeptReply {
   const { reply } = play.take();
   const group = play.send(0).target.replace("head-", "");
-  play.send(0).options.receiver.head(HEAD);
+  play.send(0).options.receiver.onHead(HEAD);
   play.event(0, 1);
-  play.calls.groupsChanged([group]);
+  play.calls.handleGroupsChanged([group]);
   return reply;
 }
 
@@ -22,10 +22,10 @@
   it("passes events on as they come, and the end", () => {
     const play = new Play(["a"]);
     const { reply } = play.take();
-    play.send(0).options.receiver.head(HEAD);
+    play.send(0).options.receiver.onHead(HEAD);
     play.event(0, 1);
     expect(reply.text).to.equal("id: 1\ndata: x\n\n");
-    play.send(0).options.receiver.ended();
+    play.send(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
@@ -35,18 +35,18 @@
     const play = new Play(["a", "b"]);
     const { reply } = play.take();
     const first = play.send(0);
-    first.options.receiver.head(HEAD);
+    first.options.receiver.onHead(HEAD);
     play.event(0, 1);
     play.event(0, 2);
     play.clock.advance(1_000);
     expect(first.isAborted).to.equal(true);
     const second = play.send(1);
     expect(second.target).to.not.equal(first.target);
-    expect(second.options.lastEvent).to.equal("2");
-    second.options.receiver.head(HEAD);
+    expect(second.options.lastEventId).to.equal("2");
+    second.options.receiver.onHead(HEAD);
     play.event(1, 2);
     play.event(1, 3);
-    second.options.receiver.ended();
+    second.options.receiver.onEnd();
     expect(reply.text.match(/id: \d/g)).to.deep.equal([
       "id: 1",
       "id: 2",
@@ -60,7 +60,7 @@
     play.take();
     const lost = play.send(0).target.replace("head-", "");
     play.groups.replace(["a", "b"].filter((one) => one !== lost).map(group));
-    play.calls.groupsChanged([lost]);
+    play.calls.handleGroupsChanged([lost]);
     expect(play.send(0).isAborted).to.equal(true);
     expect(play.sends).to.have.length(2);
   });
@@ -70,9 +70,9 @@
   it("resets the caller's connection when it cannot go on", () => {
     const play = new Play(["a", "b"]);
     const { reply } = play.take({ route: routeOf({ isResumable: false }) });
-    play.send(0).options.receiver.head(HEAD);
+    play.send(0).options.receiver.onHead(HEAD);
     play.event(0, 1);
-    play.send(0).options.receiver.failed(SendFailure.Broken, "reset");
+    play.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(reply.isBroken).to.equal(true);
     expect(reply.isEnded).to.equal(false);
     expect(play.sends).to.have.length(1);
@@ -83,15 +83,15 @@
     const route = routeOf({ isResumable: false });
     const refused = play.take({ route });
     const { receiver } = play.send(0).options;
-    receiver.head({ ...HEAD, status: 503, isNotRun: true });
-    receiver.ended();
+    receiver.onHead({ ...HEAD, status: 503, isNotRun: true });
+    receiver.onEnd();
     play.clock.advance(9_000);
-    expect(refused.reply.refusal?.end).to.equal(CallEnd.NotRun);
+    expect(refused.reply.refusal?.kind).to.equal(CallRefusalKind.NotRun);
     const broken = play.take({ route });
     play
       .send(play.sends.length - 1)
-      .options.receiver.failed(SendFailure.Broken, "reset");
-    expect(broken.reply.refusal?.end).to.equal(CallEnd.TargetFailed);
+      .options.receiver.onFailure(SendFailure.Broken, "reset");
+    expect(broken.reply.refusal?.kind).to.equal(CallRefusalKind.TargetFailed);
   });
 
   // All groups of a model are down. A call held until its deadline keeps its
@@ -100,8 +100,8 @@
     const play = new Play([]);
     const { reply } = play.take();
     play.clock.advance(1_500);
-    expect(reply.refusal?.end).to.equal(CallEnd.NotRun);
-    expect(reply.refusal?.reason).to.equal(CallReason.Hopeless);
+    expect(reply.refusal?.kind).to.equal(CallRefusalKind.NotRun);
+    expect(reply.refusal?.reason).to.equal(CallRefusalReason.Hopeless);
     expect(reply.refusal?.retryAfter).to.be.greaterThan(0);
   });
 
@@ -110,7 +110,7 @@
     const { leave } = play.take();
     leave();
     expect(play.send(0).isAborted).to.equal(true);
-    expect(play.groups.own.size).to.equal(0);
+    expect(play.groups.ownInFlight.size).to.equal(0);
   });
 
   it("answers at the deadline whatever the target does", () => {
@@ -118,7 +118,7 @@
     const route = routeOf({ isResumable: false });
     const { reply } = play.take({ deadline: 800, route });
     play.clock.advance(801);
-    expect(reply.refusal?.end).to.equal(CallEnd.TimedOut);
+    expect(reply.refusal?.kind).to.equal(CallRefusalKind.TimedOut);
   });
 
   // A burst: more calls than places. The rest waits here, in order, and goes
@@ -136,9 +136,9 @@
   it("does not send once more without an allowance", () => {
     const play = new Play(["a", "b"], 0);
     const { reply } = play.take();
-    play.send(0).options.receiver.failed(SendFailure.Broken, "reset");
+    play.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(play.sends).to.have.length(1);
-    expect(reply.refusal?.reason).to.equal(CallReason.TargetLost);
+    expect(reply.refusal?.reason).to.equal(CallRefusalReason.TargetLost);
   });
 
   // Engines turn slow for some seconds, and there are not repeats enough to
@@ -147,12 +147,12 @@
   it("leaves a slow stream where it is without an allowance", () => {
     const play = new Play(["a", "b"], 0);
     const { reply } = play.take();
-    play.send(0).options.receiver.head(HEAD);
+    play.send(0).options.receiver.onHead(HEAD);
     play.event(0, 1);
     play.clock.advance(900);
     expect(play.send(0).isAborted).to.equal(false);
     play.event(0, 2);
-    play.send(0).options.receiver.ended();
+    play.send(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
@@ -166,7 +166,7 @@
       play.event(0, id);
     }
     expect(reply.isBroken).to.equal(false);
-    play.send(0).options.receiver.ended();
+    play.send(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
@@ -185,7 +185,9 @@
   it("takes no repeat for a call that has reached no target", () => {
     const play = new Play(["a", "b"], 0);
     play.take();
-    play.send(0).options.receiver.failed(SendFailure.NotSent, "no connection");
+    play
+      .send(0)
+      .options.receiver.onFailure(SendFailure.NotSent, "no connection");
     expect(play.sends).to.have.length(2);
   });
 
@@ -195,7 +197,7 @@
     const play = new Play(["a"]);
     const first = play.take({ id: "first" });
     play.take({ id: "second" });
-    [0, 1].forEach((index) => play.send(index).options.receiver.head(HEAD));
+    [0, 1].forEach((index) => play.send(index).options.receiver.onHead(HEAD));
     const late = [1, 2].map((id) => play.take({ id: `late-${id}` }));
     for (let id = 1; id <= 5; id += 1) {
       play.clock.advance(90);
@@ -207,9 +209,9 @@
     expect(play.sends).to.have.length(3);
     const [waiting] = late;
     expect(waiting?.reply.refusal).to.equal(null);
-    play.send(2).options.receiver.head(HEAD);
+    play.send(2).options.receiver.onHead(HEAD);
     play.event(2, 1);
-    expect(prompt.reply.isBegun).to.equal(true);
+    expect(prompt.reply.isStarted).to.equal(true);
   });
 
   // Groups that are only slow say nothing for a while, and a call is taken from
@@ -222,7 +224,7 @@
     expect(play.sends).to.have.length(2);
     play.groups.replace(["b", "c"].map(group));
     const first = play.send(0).target.replace("head-", "");
-    play.calls.groupsChanged([first]);
+    play.calls.handleGroupsChanged([first]);
     play.clock.advance(1_900);
     expect(play.sends).to.have.length(3);
   });
@@ -232,12 +234,12 @@
   it("counts a failure on resuming as an attempt", () => {
     const play = new Play(["a", "b", "c"]);
     const { reply } = play.take();
-    play.send(0).options.receiver.head(HEAD);
+    play.send(0).options.receiver.onHead(HEAD);
     play.event(0, 1);
-    play.send(0).options.receiver.failed(SendFailure.Broken, "reset");
+    play.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
     const { receiver } = play.send(1).options;
-    receiver.head({ ...HEAD, status: 500 });
-    receiver.ended();
+    receiver.onHead({ ...HEAD, status: 500 });
+    receiver.onEnd();
     expect(play.sends).to.have.length(2);
     expect(reply.isBroken).to.equal(true);
   });
@@ -247,12 +249,12 @@
   it("waits for a silent target when the answer cannot go on elsewhere", () => {
     const play = new Play(["a", "b"], 0);
     const { reply } = play.take();
-    play.send(0).options.receiver.head(HEAD);
+    play.send(0).options.receiver.onHead(HEAD);
     play.event(0, 1);
     play.clock.advance(3_000);
     expect(play.send(0).isAborted).to.equal(false);
     play.event(0, 2);
-    play.send(0).options.receiver.ended();
+    play.send(0).options.receiver.onEnd();
     expect(reply.text).to.contain("id: 2");
     expect(reply.isEnded).to.equal(true);
   });
--- a/src/common/calls/model_queue.ts
+++ b/src/common/calls/model_queue.ts
@@ -7,7 +7,7 @@
  * calls that can still be on time before {@link OverdueCalls}.
  */
 import { FairQueue } from "../decisions/fair_queue.ts";
-import type { IWork } from "../decisions/work.ts";
+import type { IWorkItem } from "../decisions/work_item.ts";
 import type { MonotonicTime } from "../types.ts";
 import { DrainRate } from "./drain_rate.ts";
 import type { ModelRun } from "./model_run.ts";
@@ -31,10 +31,10 @@
 /** Calls and how fast they leave. */
 export class ModelQueue {
   readonly #queue = new FairQueue();
-  readonly #runs = new Map<IWork, ModelRun>();
+  readonly #runs = new Map<IWorkItem, ModelRun>();
   readonly #rate = new DrainRate();
   /** Works of calls that cannot be on time any more. */
-  readonly #overdue = new Map<IWork, ModelRun>();
+  readonly #overdue = new Map<IWorkItem, ModelRun>();
   readonly #overdueCalls = new OverdueCalls();
   readonly #firstEventTime: (call: ICall) => number;
   #grouplessSince: MonotonicTime | null = null;
@@ -50,27 +50,27 @@
 
   /** Adds a run; returns one that had to leave for it, or null. */
   add(run: ModelRun): ModelRun | null {
-    this.#runs.set(run.work, run);
-    const pushedOut = this.#queue.add(run.work);
+    this.#runs.set(run.queueItem, run);
+    const pushedOut = this.#queue.add(run.queueItem);
     return pushedOut === null ? null : this.#forget(pushedOut);
   }
 
-  take(now: MonotonicTime): ModelRun | null {
+  takeNext(now: MonotonicTime): ModelRun | null {
     this.#putBackOverdue(now);
     const work = this.#queue.take(ALL_ROOM);
     if (work === null) {
       return null;
     }
     if (this.#overdue.has(work)) {
-      this.#overdueCalls.started(now);
+      this.#overdueCalls.recordStart(now);
     }
-    this.#rate.started(now);
+    this.#rate.recordStart(now);
     return this.#forget(work);
   }
 
   remove(run: ModelRun): void {
-    if (this.#queue.remove(run.work)) {
-      this.#forget(run.work);
+    if (this.#queue.remove(run.queueItem)) {
+      this.#forget(run.queueItem);
     }
   }
 
@@ -79,7 +79,7 @@
    *
    * @param shortestRun - milliseconds that a run needs at least
    */
-  takeHopeless(
+  removeHopeless(
     now: MonotonicTime,
     shortestRun: (run: ModelRun) => number,
   ): readonly ModelRun[] {
@@ -93,7 +93,7 @@
       }
       const isLate = now + shortestRun(run) > work.deadline;
       const hasWaited = now - work.arrivedAt > GROUPLESS_PATIENCE;
-      const isGroupless = patience && hasWaited && !run.reply.isBegun;
+      const isGroupless = patience && hasWaited && !run.reply.isStarted;
       return isLate || isGroupless || lost.has(run);
     });
     return hopeless
@@ -102,13 +102,13 @@
   }
 
   /** Told on each look for a group whether the model has any. */
-  hasGroups(has: boolean, now: MonotonicTime): void {
+  setHasGroups(has: boolean, now: MonotonicTime): void {
     this.#grouplessSince = has ? null : (this.#grouplessSince ?? now);
   }
 
   /** Milliseconds until a call that arrives now would be started. */
   expectedWait(now: MonotonicTime): number {
-    return this.#queue.size === 0 ? 0 : this.#rate.timeFor(this.size, now);
+    return this.#queue.size === 0 ? 0 : this.#rate.timeToDrain(this.size, now);
   }
 
   retryAfter(now: MonotonicTime, chance: number): number {
@@ -119,8 +119,8 @@
   #putBackOverdue(now: MonotonicTime): void {
     const isOverdue = (run: ModelRun | undefined) =>
       run !== undefined &&
-      !run.reply.isBegun &&
-      !this.#overdue.has(run.work) &&
+      !run.reply.isStarted &&
+      !this.#overdue.has(run.queueItem) &&
       now + this.#firstEventTime(run.call) >
         run.call.arrivedAt + run.call.route.objective;
     const found = this.#queue.removeWhere((work) =>
@@ -129,8 +129,8 @@
     for (const work of found) {
       const run = this.#forget(work);
       if (run !== null) {
-        run.work = workOfOverdue(run.call);
-        this.#overdue.set(run.work, run);
+        run.queueItem = workOfOverdue(run.call);
+        this.#overdue.set(run.queueItem, run);
         this.add(run);
       }
     }
@@ -143,7 +143,7 @@
       leavesAt: run.call.arrivedAt + run.call.route.patience,
     }));
     return this.#overdueCalls
-      .hopeless(waiting, ({ run }) => this.#firstEventTime(run.call), now)
+      .findHopeless(waiting, ({ run }) => this.#firstEventTime(run.call), now)
       .map(({ run }) => run);
   }
 
@@ -151,7 +151,7 @@
     return this.#grouplessSince === null ? 0 : now - this.#grouplessSince;
   }
 
-  #forget(work: IWork): ModelRun | null {
+  #forget(work: IWorkItem): ModelRun | null {
     const run = this.#runs.get(work) ?? null;
     this.#runs.delete(work);
     this.#overdue.delete(work);
@@ -160,7 +160,7 @@
 }
 
 /** A call as the queue's decisions see it. */
-export function workOf(call: ICall): IWork {
+export function queueItemOf(call: ICall): IWorkItem {
   return {
     id: call.id,
     account: call.account ?? "",
@@ -175,9 +175,9 @@
 }
 
 /** The same call once it cannot be on time any more. */
-function workOfOverdue(call: ICall): IWork {
+function workOfOverdue(call: ICall): IWorkItem {
   return {
-    ...workOf(call),
+    ...queueItemOf(call),
     account: `${call.account ?? ""}/overdue`,
     priority: urgencyOf(call) * RANKS,
   };
@@ -188,9 +188,9 @@
 }
 
 /** The same call once its caller has part of the answer. */
-export function workOfBegun(call: ICall): IWork {
+export function startedQueueItemOf(call: ICall): IWorkItem {
   return {
-    ...workOf(call),
+    ...queueItemOf(call),
     account: `${call.account ?? ""}/begun`,
     priority: BEGUN_PRIORITY,
   };
--- a/src/common/calls/model_run.ts
+++ b/src/common/calls/model_run.ts
@@ -2,7 +2,7 @@
  * One model call from its arrival to its answer: its sends, what the caller
  * has of the answer, and whether it may be sent once more.
  */
-import type { IWork } from "../decisions/work.ts";
+import type { IWorkItem } from "../decisions/work_item.ts";
 import type { IDisposable } from "../disposable.ts";
 import type { MonotonicTime } from "../types.ts";
 import { EventSplitter } from "./event_splitter.ts";
@@ -11,11 +11,11 @@
 import type { IWatchedStream } from "./silence_limits.ts";
 import { CallKind, SendFailure } from "./types.ts";
 import type {
-  IAnswerHead,
-  IAnswerReceiver,
+  IResponseHead,
+  IResponseReceiver,
   ICall,
   ICallReply,
-  IOpenSend,
+  ISendHandle,
 } from "./types.ts";
 
 const STATUS_OK = 200;
@@ -28,23 +28,23 @@
 const MOST_MISSED_SENDS = 5;
 
 /** How one send ended. */
-export enum SendEnd {
+export enum SendOutcome {
   /** The answer was passed on whole. */
   Whole = "whole",
   /** The target has not run it and will not. */
   NotRun = "not_run",
   /** Nothing of it reached a target. */
-  Missed = "missed",
+  NotDelivered = "missed",
   /** It may have run, in part or whole. */
   Broken = "broken",
 }
 
 /** Hears how the sends of a run end. */
 export interface IModelRunOwner {
-  heard(run: ModelRun): void;
-  sendEnded(run: ModelRun, end: SendEnd, detail: string): void;
+  onEvents(run: ModelRun): void;
+  onSendEnded(run: ModelRun, end: SendOutcome, detail: string): void;
   /** Whether a group was found lost: nothing begins to run there. */
-  isLost(group: string): boolean;
+  isLostGroup(group: string): boolean;
 }
 
 /** Moments of a run, for its log line. */
@@ -59,31 +59,31 @@
 /** One send on its way. */
 export interface ICurrentSend {
   readonly group: IServingGroup;
-  readonly watched: IWatchedStream;
+  readonly stream: IWatchedStream;
   readonly sentAt: MonotonicTime;
 }
 
 /** One model call. */
-export class ModelRun implements IAnswerReceiver {
+export class ModelRun implements IResponseReceiver {
   readonly call: ICall;
   readonly reply: ICallReply;
   /** As the queue knows it; another once the answer has begun. */
-  work: IWork;
+  queueItem: IWorkItem;
   readonly #owner: IModelRunOwner;
   /** Ends the call at its deadline. */
   deadlineTimer: IDisposable | null = null;
-  current: ICurrentSend | null = null;
-  isOver = false;
+  currentSend: ICurrentSend | null = null;
+  isFinished = false;
   /** Groups that this call was sent to. */
-  readonly tried = new Set<string>();
+  readonly triedGroups = new Set<string>();
   /** Whether a target may have begun to run it. */
   mayHaveRun = false;
-  #send: IOpenSend | null = null;
+  #send: ISendHandle | null = null;
   #sends = 0;
   /** Sends of which nothing was written to a target. */
   #missedSends = 0;
   /** Whether a repeat was taken from the allowance for the next send. */
-  hasRepeat = false;
+  hasRetryGrant = false;
   #targetsThatRan = 0;
   /**
    * Groups that were left for their silence before any event. One that only
@@ -92,7 +92,7 @@
   readonly #leftSilent: string[] = [];
   #lastEvent: string | null;
   #splitter = new EventSplitter();
-  #head: IAnswerHead | null = null;
+  #head: IResponseHead | null = null;
   /** The body of an answer that is passed on whole only. */
   #collected: Uint8Array[] = [];
   #hasEvents = false;
@@ -108,44 +108,44 @@
     parts: {
       readonly call: ICall;
       readonly reply: ICallReply;
-      readonly work: IWork;
+      readonly work: IWorkItem;
     },
     owner: IModelRunOwner,
   ) {
     this.call = parts.call;
     this.reply = parts.reply;
-    this.work = parts.work;
+    this.queueItem = parts.work;
     this.#owner = owner;
-    this.#lastEvent = parts.call.lastEvent;
+    this.#lastEvent = parts.call.lastEventId;
   }
 
-  get lastEvent(): string | null {
+  get lastEventId(): string | null {
     return this.#lastEvent;
   }
 
   /** Events that the caller was sent. */
-  get events(): number {
+  get eventCount(): number {
     return this.#events;
   }
 
-  get sends(): number {
+  get sendCount(): number {
     return this.#sends;
   }
 
   /** Whether a target may have received the call. */
-  get hasArrived(): boolean {
+  get mayHaveReachedTarget(): boolean {
     return this.#sends > this.#missedSends;
   }
 
   /** Whether another target may be sent the call after this one failed. */
-  get mayGoOn(): boolean {
+  get canRetry(): boolean {
     return (this.#isRepeatable || !this.mayHaveRun) && this.#hasAttempts(0);
   }
 
   /** Whether the present send may be given up for another. */
-  get mayGoOnAfterAbort(): boolean {
-    const group = this.current?.group.group ?? "";
-    const isCounted = this.#hasEvents || this.#owner.isLost(group);
+  get canRetryAfterAbort(): boolean {
+    const group = this.currentSend?.group.group ?? "";
+    const isCounted = this.#hasEvents || this.#owner.isLostGroup(group);
     return this.#isRepeatable && this.#hasAttempts(isCounted ? 0 : 1);
   }
 
@@ -159,7 +159,7 @@
     const { maximumAttempts } = this.call.route;
     const arrived = this.#sends - this.#missedSends;
     const mayHaveBegun = this.#leftSilent.filter(
-      (group) => !this.#owner.isLost(group),
+      (group) => !this.#owner.isLostGroup(group),
     );
     const ran = this.#targetsThatRan + mayHaveBegun.length + uncounted;
     return (
@@ -170,73 +170,73 @@
   }
 
   /** A send begins; its events come to this object. */
-  begin(current: ICurrentSend, open: () => IOpenSend): void {
-    this.current = current;
+  startSend(current: ICurrentSend, open: () => ISendHandle): void {
+    this.currentSend = current;
     this.#sends += 1;
     this.times.firstSentAt ??= current.sentAt;
     this.#splitter = new EventSplitter();
     this.#head = null;
     this.#collected = [];
     this.#hasEvents = false;
-    this.tried.add(current.group.group);
+    this.triedGroups.add(current.group.group);
     this.#send = open();
   }
 
   /** Gives the present send up; it may have run. */
   abort(): void {
     this.#send?.abort();
-    if (!this.#hasEvents && this.current !== null) {
-      this.#leftSilent.push(this.current.group.group);
+    if (!this.#hasEvents && this.currentSend !== null) {
+      this.#leftSilent.push(this.currentSend.group.group);
     }
     this.#send = null;
     this.mayHaveRun = true;
   }
 
-  head(head: IAnswerHead): void {
+  onHead(head: IResponseHead): void {
     this.#head = head;
-    if (head.isForeign) {
-      this.#giveUp(SendEnd.Broken, "answer to another request");
+    if (head.isForOtherRequest) {
+      this.#giveUp(SendOutcome.Broken, "answer to another request");
     }
   }
 
-  piece(bytes: Uint8Array): void {
+  onData(bytes: Uint8Array): void {
     if (!this.#isStream) {
       this.#collected.push(bytes);
       return;
     }
-    const events = this.#splitter.take(bytes);
+    const events = this.#splitter.push(bytes);
     for (const event of events) {
       this.#pass(event);
     }
     if (events.length > 0) {
-      this.#owner.heard(this);
+      this.#owner.onEvents(this);
     } else if (this.#splitter.isTooLong) {
-      this.#giveUp(SendEnd.Broken, "event without end");
+      this.#giveUp(SendOutcome.Broken, "event without end");
     }
   }
 
-  ended(): void {
+  onEnd(): void {
     const head = this.#head;
     if (head === null) {
-      this.#giveUp(SendEnd.Broken, "ended without a head");
+      this.#giveUp(SendOutcome.Broken, "ended without a head");
     } else if (head.isNotRun) {
-      this.#giveUp(SendEnd.NotRun, `status ${head.status}`);
+      this.#giveUp(SendOutcome.NotRun, `status ${head.status}`);
     } else if (!this.#isStream) {
       this.#passWhole(head);
-    } else if (this.#splitter.hasRest) {
-      this.#giveUp(SendEnd.Broken, "ended within an event");
+    } else if (this.#splitter.hasPartialEvent) {
+      this.#giveUp(SendOutcome.Broken, "ended within an event");
     } else {
       this.#beginReply(head);
-      this.#finish(SendEnd.Whole, "");
+      this.#finish(SendOutcome.Whole, "");
     }
   }
 
-  failed(failure: SendFailure, detail: string): void {
+  onFailure(failure: SendFailure, detail: string): void {
     if (failure === SendFailure.NotSent) {
       this.#missedSends += 1;
-      this.#finish(SendEnd.Missed, detail);
+      this.#finish(SendOutcome.NotDelivered, detail);
     } else {
-      this.#finish(SendEnd.Broken, detail);
+      this.#finish(SendOutcome.Broken, detail);
     }
   }
 
@@ -259,7 +259,7 @@
     if (this.#head !== null) {
       this.#beginReply(this.#head);
     }
-    this.reply.piece(event.bytes);
+    this.reply.write(event.bytes);
     this.#events += 1;
     this.#lastEvent = event.id ?? this.#lastEvent;
   }
@@ -273,37 +273,37 @@
   }
 
   /** The answer keeps the head of its first target. */
-  #beginReply(head: IAnswerHead): void {
-    if (!this.reply.isBegun) {
-      this.reply.begin(head, null);
+  #beginReply(head: IResponseHead): void {
+    if (!this.reply.isStarted) {
+      this.reply.start(head, null);
     }
   }
 
-  #passWhole(head: IAnswerHead): void {
+  #passWhole(head: IResponseHead): void {
     this.mayHaveRun = true;
-    if (this.reply.isBegun) {
+    if (this.reply.isStarted) {
       this.#targetsThatRan += 1;
-      this.#giveUp(SendEnd.Broken, `status ${head.status} on resuming`);
+      this.#giveUp(SendOutcome.Broken, `status ${head.status} on resuming`);
       return;
     }
     const length = this.#collected.reduce((sum, { length }) => sum + length, 0);
-    this.reply.begin(head, length);
+    this.reply.start(head, length);
     for (const bytes of this.#collected) {
-      this.reply.piece(bytes);
+      this.reply.write(bytes);
     }
-    this.#finish(SendEnd.Whole, `status ${head.status}`);
+    this.#finish(SendOutcome.Whole, `status ${head.status}`);
   }
 
-  #giveUp(end: SendEnd, detail: string): void {
+  #giveUp(end: SendOutcome, detail: string): void {
     this.#send?.abort();
     this.#finish(end, detail);
   }
 
-  #finish(end: SendEnd, detail: string): void {
+  #finish(end: SendOutcome, detail: string): void {
     this.#send = null;
-    if (end !== SendEnd.NotRun && end !== SendEnd.Missed) {
+    if (end !== SendOutcome.NotRun && end !== SendOutcome.NotDelivered) {
       this.mayHaveRun = true;
     }
-    this.#owner.sendEnded(this, end, detail);
+    this.#owner.onSendEnded(this, end, detail);
   }
 }
--- a/src/common/calls/model_lanes.ts
+++ b/src/common/calls/model_states.ts
@@ -1,10 +1,10 @@
 /** What is kept of each model of each service while its calls come. */
 import type { MonotonicTime, ServiceName } from "../types.ts";
-import { fullBatchGap, readTime, runTime } from "./engine_timing.ts";
-import { FirstEventTime } from "./first_event_time.ts";
+import { fullBatchGap, prefillMs, runTime } from "./engine_timing.ts";
+import { FirstEventTimeEstimator } from "./first_event_time_estimator.ts";
 import { ModelQueue } from "./model_queue.ts";
-import { WorkRate } from "./work_rate.ts";
-import type { ICall, IEngineModel, IModel, IServiceEntry } from "./types.ts";
+import { DemandEstimator } from "./demand_estimator.ts";
+import type { ICall, IEngineProfile, IModel, IServiceEntry } from "./types.ts";
 
 /** Share of the predicted run time below which no run can be in time. */
 const SHORTEST_RUN_SHARE = 0.6;
@@ -16,43 +16,43 @@
 const KEY_SEPARATOR = "\n";
 
 /** One model of one service. */
-export interface IModelLane {
+export interface IModelState {
   readonly service: ServiceName;
   readonly model: string;
   readonly queue: ModelQueue;
-  readonly rate: WorkRate;
-  readonly firstEvents: FirstEventTime;
+  readonly demand: DemandEstimator;
+  readonly firstEventTime: FirstEventTimeEstimator;
   /** Milliseconds within which its newest call is on time. */
   objective: number;
 }
 
 /** A model and the engines that run it. */
-export interface IModelEngine {
-  readonly engine: IEngineModel;
+export interface IModelProfile {
+  readonly engine: IEngineProfile;
   readonly model: IModel;
 }
 
-/** All models that calls have come for, by {@link keyOf}. */
-export class ModelLanes {
+/** All models that calls have come for, by {@link modelKey}. */
+export class ModelStates {
   readonly #service: (name: string) => IServiceEntry | null;
-  readonly #lanes = new Map<string, IModelLane>();
+  readonly #lanes = new Map<string, IModelState>();
 
   constructor(service: (name: string) => IServiceEntry | null) {
     this.#service = service;
   }
 
-  get all(): readonly IModelLane[] {
+  get all(): readonly IModelState[] {
     return [...this.#lanes.values()];
   }
 
   /** The lane of a call's model; made when its first call comes. */
-  of(call: ICall): IModelLane {
-    const key = keyOf(call);
+  getOrCreate(call: ICall): IModelState {
+    const key = modelKey(call);
     let lane = this.#lanes.get(key);
     if (lane === undefined) {
-      const firstEvents = new FirstEventTime();
+      const firstEvents = new FirstEventTimeEstimator();
       const queue = new ModelQueue(
-        (one) => firstEvents.time + this.readTime(one),
+        (one) => firstEvents.estimate + this.prefillTime(one),
       );
       const { service } = call;
       const model = call.model ?? "";
@@ -60,8 +60,8 @@
         service,
         model,
         queue,
-        firstEvents,
-        rate: new WorkRate(),
+        firstEventTime: firstEvents,
+        demand: new DemandEstimator(),
         objective: call.route.objective,
       };
       this.#lanes.set(key, lane);
@@ -70,28 +70,32 @@
   }
 
   /** Counts the work of a call that has arrived. */
-  arrived(call: ICall, now: MonotonicTime): void {
+  recordArrival(call: ICall, now: MonotonicTime): void {
     const found = this.engineOf(call);
-    this.of(call).objective = call.route.objective;
+    this.getOrCreate(call).objective = call.route.objective;
     if (found !== null) {
       const arrival = { tokens: call.tokens, now };
-      this.of(call).rate.arrived(arrival, found.engine, found.model);
+      this.getOrCreate(call).demand.recordCall(
+        arrival,
+        found.engine,
+        found.model,
+      );
     }
   }
 
   /** Null where the configuration does not name the model. */
-  engineOf(call: ICall): IModelEngine | null {
+  engineOf(call: ICall): IModelProfile | null {
     const engine = this.#service(call.service)?.engine ?? null;
     const model = engine?.models.find(({ name }) => name === call.model);
     return engine && model ? { engine, model } : null;
   }
 
   /** Milliseconds that a group takes to read a call's prompt. */
-  readTime(call: ICall): number {
+  prefillTime(call: ICall): number {
     const found = this.engineOf(call);
     return found === null
       ? 0
-      : readTime(found.engine, call.tokens.prompt) * found.model.pace;
+      : prefillMs(found.engine, call.tokens.prompt) * found.model.pace;
   }
 
   /** Milliseconds that a call needs at least, from its start to its end. */
@@ -109,6 +113,6 @@
 }
 
 /** Names a call's service and model. */
-export function keyOf(call: ICall): string {
+export function modelKey(call: ICall): string {
   return `${call.service}${KEY_SEPARATOR}${call.model ?? ""}`;
 }
--- a/src/common/calls/object_follower.ts
+++ b/src/common/calls/object_follower.ts
@@ -17,7 +17,7 @@
   IRandom,
   IWatchResult,
 } from "../services/services.ts";
-import type { IKindWord } from "../relay/types.ts";
+import type { IKindStatus } from "../relay/types.ts";
 import type { MonotonicTime } from "../types.ts";
 
 /**
@@ -53,7 +53,7 @@
   readonly pause: () => number;
   /** Milliseconds that one watch waits; {@link WATCH_TIME} where left out. */
   readonly watchTime?: () => number;
-  readonly onChanged: (changed: IFollowedChange) => void;
+  readonly onChanged: (changed: IObjectChanges) => void;
 }
 
 interface IRelayed {
@@ -64,13 +64,13 @@
 }
 
 /** Objects changed and gone. */
-export interface IFollowedChange {
+export interface IObjectChanges {
   readonly objects: readonly IPlatformObject[];
   readonly removed: readonly string[];
   /** The store's version at its answer. */
   readonly version: number;
   /** All objects of the kind were read: those not named are gone. */
-  readonly isWhole: boolean;
+  readonly isFullList: boolean;
   /** The store had been out of reach just before. */
   readonly isAfterOutage: boolean;
 }
@@ -104,7 +104,7 @@
   }
 
   /** Whether the objects have been read once; an outage does not undo it. */
-  get isKnown(): boolean {
+  get isLoaded(): boolean {
     return this.#isKnown;
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** What may be passed on to others; null before anything is known. */
-  get word(): IKindWord | null {
+  get status(): IKindStatus | null {
     return this.#version === null
       ? null
       : {
@@ -130,13 +130,13 @@
   }
 
   /** Another process has told what the store last told it. */
-  heard({ version, changedVersion, age }: IKindWord): void {
+  receiveRelayedStatus({ version, changedVersion, age }: IKindStatus): void {
     const until = this.#parts.clock.now() + LONGEST_RELAY_AGE - age;
     this.#relay = { version, changedVersion, until };
   }
 
   /** All changes up to a version were learned from another process. */
-  advance(version: number): void {
+  advanceTo(version: number): void {
     if (this.#version !== null && version > this.#version) {
       this.#version = version;
     }
@@ -166,7 +166,7 @@
       this.#version !== null &&
       this.#version >= relay.changedVersion;
     if (isTold) {
-      this.advance(relay.version);
+      this.advanceTo(relay.version);
       this.#mustList = false;
       // What lapsed in an outage is kept by the process that tells of it; taken
       // for one that has just ended, an old outage would keep what is gone.
@@ -226,7 +226,13 @@
       this.#changedVersion = version;
     }
     if (isChanged || isAfterOutage) {
-      onChanged({ objects, removed, version, isWhole, isAfterOutage });
+      onChanged({
+        objects,
+        removed,
+        version,
+        isFullList: isWhole,
+        isAfterOutage,
+      });
     }
   }
 
--- a/src/common/calls/object_follower_test.ts
+++ b/src/common/calls/object_follower_test.ts
@@ -6,7 +6,7 @@
 import type { IObjectStore } from "../services/services.ts";
 import { CallFailureKind } from "../types.ts";
 import { ObjectFollower } from "./object_follower.ts";
-import type { IFollowedChange } from "./object_follower.ts";
+import type { IObjectChanges } from "./object_follower.ts";
 
 const AWAY = { kind: CallFailureKind.Refused, detail: "away" };
 
@@ -50,7 +50,7 @@
   it("knows what it has read also while the store is away", async () => {
     const store = new OneObject();
     const clock = new ManualClock();
-    const changes: IFollowedChange[] = [];
+    const changes: IObjectChanges[] = [];
     const log = new KeptLog();
     const follower = new ObjectFollower(
       { store, clock, random: new SeededRandom(1), log },
@@ -60,18 +60,21 @@
         onChanged: (change) => changes.push(change),
       },
     );
-    expect(follower.isKnown).to.equal(false);
+    expect(follower.isLoaded).to.equal(false);
     follower.start();
     store.isAway = false;
     await turns(clock, 100);
     store.isAway = true;
     await turns(clock, 2_000);
-    expect(follower.isKnown).to.equal(true);
+    expect(follower.isLoaded).to.equal(true);
     expect(log.of("store_lost")).to.have.length(1);
     store.isAway = false;
     await turns(clock, 1_000);
     follower.dispose();
     expect(log.of("store_regained")).to.have.length(1);
-    expect(changes.at(-1)).to.include({ isWhole: true, isAfterOutage: true });
+    expect(changes.at(-1)).to.include({
+      isFullList: true,
+      isAfterOutage: true,
+    });
   });
 });
--- a/src/common/calls/overdue_calls.ts
+++ b/src/common/calls/overdue_calls.ts
@@ -38,7 +38,7 @@
   #starts: MonotonicTime[] = [];
 
   /** One of them was started. */
-  started(now: MonotonicTime): void {
+  recordStart(now: MonotonicTime): void {
     this.#starts.push(now);
   }
 
@@ -48,7 +48,7 @@
    * @param waiting - all of them
    * @param firstEventTime - milliseconds from a start to the first event
    */
-  hopeless<T extends IOverdueCall>(
+  findHopeless<T extends IOverdueCall>(
     waiting: readonly T[],
     firstEventTime: (call: T) => number,
     now: MonotonicTime,
--- a/src/common/calls/overdue_calls_test.ts
+++ b/src/common/calls/overdue_calls_test.ts
@@ -17,7 +17,7 @@
     const overdue = new OverdueCalls();
     const waiting = [0, 10, 20, 30, 40].map(callAt);
     const hopeless = (now: number) =>
-      overdue.hopeless(waiting, () => FIRST_EVENT, now);
+      overdue.findHopeless(waiting, () => FIRST_EVENT, now);
     expect(hopeless(300)).to.have.length(0);
     expect(hopeless(1_000)).to.have.length(0);
     expect(hopeless(1_300).map(({ arrivedAt }) => arrivedAt)).to.deep.equal([
@@ -29,18 +29,22 @@
   it("are kept while they are started in time", () => {
     const overdue = new OverdueCalls();
     const waiting = Array.from({ length: 20 }, (_, index) => callAt(index));
-    overdue.hopeless(waiting, () => FIRST_EVENT, 300);
+    overdue.findHopeless(waiting, () => FIRST_EVENT, 300);
     for (let now = 300; now < 800; now += 50) {
-      overdue.started(now);
+      overdue.recordStart(now);
       waiting.shift();
     }
-    const hopeless = overdue.hopeless(waiting, () => FIRST_EVENT, 800);
+    const hopeless = overdue.findHopeless(waiting, () => FIRST_EVENT, 800);
     expect(hopeless).to.have.length(0);
   });
 
   it("are given up once their callers have left", () => {
     const overdue = new OverdueCalls();
-    const hopeless = overdue.hopeless([callAt(0)], () => FIRST_EVENT, 1_900);
+    const hopeless = overdue.findHopeless(
+      [callAt(0)],
+      () => FIRST_EVENT,
+      1_900,
+    );
     expect(hopeless).to.have.length(1);
   });
 });
--- a/src/common/calls/plain_calls.ts
+++ b/src/common/calls/plain_calls.ts
@@ -5,17 +5,22 @@
 import type { IDisposable } from "../disposable.ts";
 import type { IClock, ILog, IMetrics } from "../services/services.ts";
 import type { InstanceId, MonotonicTime, ZoneName } from "../types.ts";
-import type { PlainTargets } from "./plain_targets.ts";
-import type { RepeatBook } from "./repeat_book.ts";
-import { CallEnd, CallKind, CallReason, SendFailure } from "./types.ts";
+import type { PlainTargetSelector } from "./plain_target_selector.ts";
+import type { ServiceRetryAllowances } from "./service_retry_allowances.ts";
+import {
+  CallRefusalKind,
+  CallKind,
+  CallRefusalReason,
+  SendFailure,
+} from "./types.ts";
 import type {
-  IAnswerHead,
-  IAnswerReceiver,
+  IResponseHead,
+  IResponseReceiver,
   ICall,
   ICallReply,
   ICallSender,
   IListedTarget,
-  IOpenSend,
+  ISendHandle,
 } from "./types.ts";
 
 const STATUS_SERVER_ERROR = 500;
@@ -35,11 +40,11 @@
 
 /** What the plain calls need. */
 export interface IPlainCallParts {
-  readonly targets: PlainTargets;
+  readonly targets: PlainTargetSelector;
   /** The listed targets of a service that take work. */
-  readonly listed: (service: string) => readonly IListedTarget[];
+  readonly readyTargets: (service: string) => readonly IListedTarget[];
   readonly sender: ICallSender;
-  readonly repeats: RepeatBook;
+  readonly retries: ServiceRetryAllowances;
   readonly clock: IClock;
   readonly log: ILog;
   readonly metrics: IMetrics;
@@ -55,7 +60,7 @@
   }
 
   /** Returns what to do when the caller leaves. */
-  take(call: ICall, reply: ICallReply): () => void {
+  submit(call: ICall, reply: ICallReply): () => void {
     const run = new PlainRun(call, { reply, parts: this.#parts });
     run.start();
     return () => run.callerLeft();
@@ -105,28 +110,33 @@
   #send(): void {
     const now = this.#parts.clock.now();
     const { service } = this.#call;
-    const target = this.#parts.targets.choose(this.#parts.listed(service), {
-      zone: this.#parts.zone,
-      excluded: this.#tried,
-      now,
-    });
+    const target = this.#parts.targets.choose(
+      this.#parts.readyTargets(service),
+      {
+        zone: this.#parts.zone,
+        excluded: this.#tried,
+        now,
+      },
+    );
     if (target === null) {
       this.#refuse(
-        this.#mayHaveRun ? CallReason.TargetLost : CallReason.NoTarget,
+        this.#mayHaveRun
+          ? CallRefusalReason.TargetLost
+          : CallRefusalReason.NoTarget,
       );
       return;
     }
     if (this.#tried.size === 0) {
-      this.#parts.repeats.firstSend(service, now);
+      this.#parts.retries.recordFirstSend(service, now);
     }
     this.#tried.add(target.id);
     this.#sends += 1;
-    this.#parts.targets.sent(target.id);
+    this.#parts.targets.recordSend(target.id);
     const send = new PlainSend(target.id, (answer) => this.#ended(answer));
     this.#current = send;
     send.open = this.#parts.sender.send(target, this.#call, {
       timeLeft: this.#call.deadline - now,
-      lastEvent: this.#call.lastEvent,
+      lastEventId: this.#call.lastEventId,
       onNewConnection: !this.#isSafe,
       receiver: send,
     });
@@ -142,7 +152,10 @@
     const left = this.#call.deadline - now;
     const timer = this.#parts.clock.after(Math.min(patience, left), () => {
       if (this.#current === send && !this.#isOver && this.#mayTryAgain()) {
-        this.#parts.targets.silent(send.target, this.#parts.clock.now());
+        this.#parts.targets.recordNoResponse(
+          send.target,
+          this.#parts.clock.now(),
+        );
         this.#dropSend();
         this.#logFailure(send.target, "silent");
         this.#send();
@@ -158,7 +171,7 @@
     }
     this.#current = null;
     const { targets, clock } = this.#parts;
-    targets.done(send.target);
+    targets.recordEnd(send.target);
     const { head, failure } = answer;
     const isNotRun = failure === SendFailure.NotSent || head?.isNotRun === true;
     this.#sends -= failure === SendFailure.NotSent ? 1 : 0;
@@ -166,11 +179,11 @@
     const isGood =
       failure === null && head !== null && head.status < STATUS_SERVER_ERROR;
     if (isGood && !isNotRun) {
-      targets.answered(send.target, head.load, clock.now());
+      targets.recordSuccess(send.target, head.load, clock.now());
     } else if (failure === SendFailure.NotSent) {
-      targets.silent(send.target, clock.now());
+      targets.recordNoResponse(send.target, clock.now());
     } else {
-      targets.failed(send.target, clock.now());
+      targets.recordFailure(send.target, clock.now());
     }
     if (isGood && !isNotRun) {
       this.#pass(head, answer.body);
@@ -191,23 +204,25 @@
     } else if (failure === null && head !== null && !end.isNotRun) {
       this.#pass(head, body);
     } else if (end.isNotRun && !this.#mayHaveRun) {
-      this.#refuse(CallReason.TargetRefused);
+      this.#refuse(CallRefusalReason.TargetRefused);
     } else {
-      this.#refuse(CallReason.TargetLost);
+      this.#refuse(CallRefusalReason.TargetLost);
     }
   }
 
   /** Takes a repeat from the allowance if the call may have one. */
   #mayTryAgain(): boolean {
-    const { clock, repeats, listed } = this.#parts;
+    const { clock, retries, readyTargets } = this.#parts;
     const { service, route, deadline } = this.#call;
     const now = clock.now();
-    const hasOther = listed(service).some(({ id }) => !this.#tried.has(id));
+    const hasOther = readyTargets(service).some(
+      ({ id }) => !this.#tried.has(id),
+    );
     return (
       hasOther &&
       now < deadline &&
       this.#sends < route.maximumAttempts &&
-      repeats.take(service, now)
+      retries.tryTake(service, now)
     );
   }
 
@@ -217,7 +232,7 @@
       this.#current = null;
       this.#mayHaveRun = true;
       send.open?.abort();
-      this.#parts.targets.done(send.target);
+      this.#parts.targets.recordEnd(send.target);
     }
   }
 
@@ -227,35 +242,38 @@
     }
     const send = this.#current;
     if (send !== null) {
-      this.#parts.targets.silent(send.target, this.#parts.clock.now());
+      this.#parts.targets.recordNoResponse(
+        send.target,
+        this.#parts.clock.now(),
+      );
     }
     this.#dropSend();
-    this.#refuse(CallReason.DeadlinePassed);
+    this.#refuse(CallRefusalReason.DeadlinePassed);
   }
 
-  #pass(head: IAnswerHead, body: readonly Uint8Array[]): void {
+  #pass(head: IResponseHead, body: readonly Uint8Array[]): void {
     this.#finish(WHOLE, { status: head.status });
     const length = body.reduce((sum, { length }) => sum + length, 0);
-    this.#reply.begin(head, length);
+    this.#reply.start(head, length);
     for (const bytes of body) {
-      this.#reply.piece(bytes);
+      this.#reply.write(bytes);
     }
     this.#reply.end();
   }
 
-  #refuse(reason: CallReason): void {
+  #refuse(reason: CallRefusalReason): void {
     const end = this.#endOf(reason);
     this.#finish(end, { reason });
-    this.#reply.refuse({ end, reason, retryAfter: RETRY_AFTER });
+    this.#reply.refuse({ kind: end, reason, retryAfter: RETRY_AFTER });
   }
 
-  #endOf(reason: CallReason): CallEnd {
+  #endOf(reason: CallRefusalReason): CallRefusalKind {
     if (!this.#mayHaveRun) {
-      return CallEnd.NotRun;
+      return CallRefusalKind.NotRun;
     }
-    return reason === CallReason.DeadlinePassed
-      ? CallEnd.TimedOut
-      : CallEnd.TargetFailed;
+    return reason === CallRefusalReason.DeadlinePassed
+      ? CallRefusalKind.TimedOut
+      : CallRefusalKind.TargetFailed;
   }
 
   #logFailure(target: InstanceId, detail: string): void {
@@ -295,7 +313,7 @@
 
 /** How one send ended. */
 interface IPlainAnswer {
-  readonly head: IAnswerHead | null;
+  readonly head: IResponseHead | null;
   readonly body: readonly Uint8Array[];
   /** Null when the answer is whole. */
   readonly failure: SendFailure | null;
@@ -303,35 +321,35 @@
 }
 
 /** Collects one answer. */
-class PlainSend implements IAnswerReceiver {
+class PlainSend implements IResponseReceiver {
   readonly target: InstanceId;
-  open: IOpenSend | null = null;
+  open: ISendHandle | null = null;
   readonly #ended: (answer: IPlainAnswer) => void;
   readonly #body: Uint8Array[] = [];
-  #head: IAnswerHead | null = null;
+  #head: IResponseHead | null = null;
 
   constructor(target: InstanceId, ended: (answer: IPlainAnswer) => void) {
     this.target = target;
     this.#ended = ended;
   }
 
-  head(head: IAnswerHead): void {
+  onHead(head: IResponseHead): void {
     this.#head = head;
-    if (head.isForeign) {
+    if (head.isForOtherRequest) {
       this.open?.abort();
-      this.failed(SendFailure.Broken, "answer to another request");
+      this.onFailure(SendFailure.Broken, "answer to another request");
     }
   }
 
-  piece(bytes: Uint8Array): void {
+  onData(bytes: Uint8Array): void {
     this.#body.push(bytes);
   }
 
-  ended(): void {
+  onEnd(): void {
     this.#ended(this.#answer(null, ""));
   }
 
-  failed(failure: SendFailure, detail: string): void {
+  onFailure(failure: SendFailure, detail: string): void {
     this.#ended(this.#answer(failure, detail));
   }
 
--- a/src/common/calls/plain_calls_test.ts
+++ b/src/common/calls/plain_calls_test.ts
@@ -4,10 +4,14 @@
 import { ManualClock } from "../../../test/support/manual_clock.ts";
 import { KeptLog, NO_METRICS } from "../../../test/support/quiet_services.ts";
 import { PlainCalls } from "./plain_calls.ts";
-import { PlainTargets } from "./plain_targets.ts";
-import { RepeatBook } from "./repeat_book.ts";
-import { CallEnd, CallKind, SendFailure } from "./types.ts";
-import type { IAnswerHead, IAnswerReceiver, ISendOptions } from "./types.ts";
+import { PlainTargetSelector } from "./plain_target_selector.ts";
+import { ServiceRetryAllowances } from "./service_retry_allowances.ts";
+import { CallRefusalKind, CallKind, SendFailure } from "./types.ts";
+import type {
+  IResponseHead,
+  IResponseReceiver,
+  ISendOptions,
+} from "./types.ts";
 
 const SAFE = routeOf({ kind: CallKind.Safe, timeout: 800, objective: 120 });
 const UNSAFE = routeOf({
@@ -17,13 +21,19 @@
   maximumAttempts: 2,
 });
 
-function headOf(status: number, isNotRun = false): IAnswerHead {
-  return { status, headers: [], isNotRun, isForeign: false, load: null };
+function headOf(status: number, isNotRun = false): IResponseHead {
+  return {
+    status,
+    headers: [],
+    isNotRun,
+    isForOtherRequest: false,
+    load: null,
+  };
 }
 
 interface ISend {
   readonly target: string;
-  readonly options: ISendOptions & { readonly receiver: IAnswerReceiver };
+  readonly options: ISendOptions & { readonly receiver: IResponseReceiver };
   isAborted: boolean;
 }
 
@@ -37,8 +47,8 @@
     const listed = ["a", "b", "c"].map((id) => listedEngine(id));
     const bounds = { ratio: 0.2, window: 10_000, slack: 100 };
     this.#calls = new PlainCalls({
-      targets: new PlainTargets(),
-      listed: () => listed,
+      targets: new PlainTargetSelector(),
+      readyTargets: () => listed,
       sender: {
         send: (target, _, options) => {
           const send = { target: target.id, options, isAborted: false };
@@ -46,7 +56,7 @@
           return { abort: () => (send.isAborted = true) };
         },
       },
-      repeats: new RepeatBook(bounds, {
+      retries: new ServiceRetryAllowances(bounds, {
         processes: () => 1,
         replacesAnotherSince: null,
       }),
@@ -62,15 +72,15 @@
     const now = this.clock.now();
     const deadline = now + route.timeout;
     const call = callOf({ route, model: null, arrivedAt: now, deadline });
-    this.#calls.take(call, reply);
+    this.#calls.submit(call, reply);
     return reply;
   }
 
-  answer(index: number, head: IAnswerHead, text = ""): void {
+  answer(index: number, head: IResponseHead, text = ""): void {
     const receiver = this.sends[index]?.options.receiver;
-    receiver?.head(head);
-    receiver?.piece(new TextEncoder().encode(text));
-    receiver?.ended();
+    receiver?.onHead(head);
+    receiver?.onData(new TextEncoder().encode(text));
+    receiver?.onEnd();
   }
 }
 
@@ -102,11 +112,11 @@
     const reply = play.take(UNSAFE);
     play.clock.advance(801);
     expect(play.sends).to.have.length(1);
-    expect(reply.refusal?.end).to.equal(CallEnd.TimedOut);
+    expect(reply.refusal?.kind).to.equal(CallRefusalKind.TimedOut);
     const broken = play.take(UNSAFE);
-    play.sends[1]?.options.receiver.failed(SendFailure.Broken, "reset");
+    play.sends[1]?.options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(play.sends).to.have.length(2);
-    expect(broken.refusal?.end).to.equal(CallEnd.TargetFailed);
+    expect(broken.refusal?.kind).to.equal(CallRefusalKind.TargetFailed);
   });
 
   it("sends an unsafe call on where the target has not run it", () => {
@@ -122,7 +132,7 @@
   it("sends an unsafe call on where no connection could be made", () => {
     const play = new Play();
     const reply = play.take({ ...UNSAFE, maximumAttempts: 1 });
-    play.sends[0]?.options.receiver.failed(
+    play.sends[0]?.options.receiver.onFailure(
       SendFailure.NotSent,
       "no connection",
     );
--- a/src/common/calls/plain_targets.ts
+++ b/src/common/calls/plain_target_selector.ts
@@ -35,7 +35,7 @@
 }
 
 /** What is known of the plain targets, in one process. */
-export class PlainTargets {
+export class PlainTargetSelector {
   readonly #states = new Map<InstanceId, IPlainState>();
 
   /**
@@ -68,17 +68,21 @@
     return best;
   }
 
-  sent(id: InstanceId): void {
+  recordSend(id: InstanceId): void {
     this.#stateOf(id).inFlight += 1;
   }
 
   /** The call is over, however it ended. */
-  done(id: InstanceId): void {
+  recordEnd(id: InstanceId): void {
     const state = this.#stateOf(id);
     state.inFlight = Math.max(0, state.inFlight - 1);
   }
 
-  answered(id: InstanceId, load: ITargetLoad | null, now: MonotonicTime): void {
+  recordSuccess(
+    id: InstanceId,
+    load: ITargetLoad | null,
+    now: MonotonicTime,
+  ): void {
     const state = this.#stateOf(id);
     state.failuresInARow = 0;
     state.timeAside = FIRST_TIME_ASIDE;
@@ -90,7 +94,7 @@
   }
 
   /** It answered with a failure of its own, or broke off. */
-  failed(id: InstanceId, now: MonotonicTime): void {
+  recordFailure(id: InstanceId, now: MonotonicTime): void {
     const state = this.#stateOf(id);
     state.failuresInARow += 1;
     if (state.failuresInARow >= FAILURES_IN_A_ROW) {
@@ -99,7 +103,7 @@
   }
 
   /** It left a call without an answer, or could not be reached. */
-  silent(id: InstanceId, now: MonotonicTime): void {
+  recordNoResponse(id: InstanceId, now: MonotonicTime): void {
     this.#setAside(this.#stateOf(id), now);
   }
 
--- a/src/common/calls/plain_targets_test.ts
+++ b/src/common/calls/plain_target_selector_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { PlainTargets } from "./plain_targets.ts";
+import { PlainTargetSelector } from "./plain_target_selector.ts";
 import { ListedState } from "./types.ts";
 import type { IListedTarget } from "./types.ts";
 
@@ -19,7 +19,7 @@
 const THREE = [target("a", "one"), target("b", "two"), target("c", "three")];
 
 function choose(
-  targets: PlainTargets,
+  targets: PlainTargetSelector,
   now: number,
   excluded: readonly string[] = [],
 ): string | null {
@@ -29,21 +29,21 @@
 
 describe("choosing among plain targets", () => {
   it("prefers its own zone until that target is busier", () => {
-    const targets = new PlainTargets();
+    const targets = new PlainTargetSelector();
     expect(choose(targets, 0)).to.equal("a");
-    targets.sent("a");
-    targets.sent("a");
+    targets.recordSend("a");
+    targets.recordSend("a");
     expect(choose(targets, 0)).to.equal("b");
   });
 
   // One of three targets stops answering while its health looks good. Each
   // call sent there waits for its deadline: a third of all that callers ask.
   it("sets a silent target aside for longer each time", () => {
-    const targets = new PlainTargets();
-    targets.silent("a", 0);
+    const targets = new PlainTargetSelector();
+    targets.recordNoResponse("a", 0);
     expect(choose(targets, 400)).to.equal("b");
     expect(choose(targets, 600)).to.equal("a");
-    targets.silent("a", 600);
+    targets.recordNoResponse("a", 600);
     expect(choose(targets, 1_500)).to.equal("b");
     expect(choose(targets, 1_700)).to.equal("a");
   });
@@ -51,23 +51,23 @@
   // This process's link is down, so all targets look silent. Refusing every
   // call then would go on after the link is back.
   it("goes on with one of them when all are silent", () => {
-    const targets = new PlainTargets();
-    THREE.forEach(({ id }) => targets.silent(id, 0));
+    const targets = new PlainTargetSelector();
+    THREE.forEach(({ id }) => targets.recordNoResponse(id, 0));
     expect(choose(targets, 100)).to.not.equal(null);
   });
 
   it("does not set a target aside for single failures", () => {
-    const targets = new PlainTargets();
+    const targets = new PlainTargetSelector();
     for (let call = 0; call < 3; call += 1) {
-      targets.failed("a", 0);
+      targets.recordFailure("a", 0);
     }
     expect(choose(targets, 0)).to.equal("a");
-    targets.failed("a", 0);
+    targets.recordFailure("a", 0);
     expect(choose(targets, 0)).to.equal("b");
   });
 
   it("never chooses one that had the call", () => {
-    const targets = new PlainTargets();
+    const targets = new PlainTargetSelector();
     expect(choose(targets, 0, ["a", "b", "c"])).to.equal(null);
     expect(choose(targets, 0, ["a"])).to.equal("b");
   });
--- a/src/common/calls/repeat_allowance.ts
+++ b/src/common/calls/retry_allowance.ts
@@ -14,7 +14,7 @@
 import type { MonotonicTime } from "../types.ts";
 
 /** The platform's bound on repeats. */
-export interface IRepeatBounds {
+export interface IRetryBounds {
   readonly ratio: number;
   /** Milliseconds. */
   readonly window: number;
@@ -31,16 +31,16 @@
 }
 
 /** The repeats of one service in one process. */
-export class RepeatAllowance {
-  readonly #bounds: IRepeatBounds;
+export class RetryAllowance {
+  readonly #bounds: IRetryBounds;
   #sent: ISent[] = [];
   #repeats = 0;
 
-  constructor(bounds: IRepeatBounds) {
+  constructor(bounds: IRetryBounds) {
     this.#bounds = bounds;
   }
 
-  firstSend(now: MonotonicTime): void {
+  recordFirstSend(now: MonotonicTime): void {
     this.#expire(now);
     this.#sent.push({ at: now, isRepeat: false });
   }
@@ -51,7 +51,7 @@
    * @param processes How many share the slack.
    * @returns Whether it may be sent.
    */
-  take(now: MonotonicTime, processes: number): boolean {
+  tryTake(now: MonotonicTime, processes: number): boolean {
     this.#expire(now);
     const first = this.#sent.length - this.#repeats;
     const { ratio, slack } = this.#bounds;
--- a/src/common/calls/repeat_allowance_test.ts
+++ b/src/common/calls/retry_allowance_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import fc from "fast-check";
-import { RepeatAllowance } from "./repeat_allowance.ts";
+import { RetryAllowance } from "./retry_allowance.ts";
 
 const BOUNDS = { ratio: 0.2, window: 10_000, slack: 100 };
 
@@ -18,7 +18,7 @@
       fc.property(fc.array(step, { maxLength: 600 }), (steps) => {
         const processes = Array.from(
           { length: 6 },
-          () => new RepeatAllowance(BOUNDS),
+          () => new RetryAllowance(BOUNDS),
         );
         const sent: { readonly at: number; readonly isRepeat: boolean }[] = [];
         let now = 0;
@@ -26,9 +26,9 @@
           now += gap;
           const allowance = processes[process];
           if (!isRepeat) {
-            allowance?.firstSend(now);
+            allowance?.recordFirstSend(now);
             sent.push({ at: now, isRepeat });
-          } else if (allowance?.take(now, 6)) {
+          } else if (allowance?.tryTake(now, 6)) {
             sent.push({ at: now, isRepeat });
           }
         }
@@ -46,15 +46,15 @@
   });
 
   it("gives a process its part of the slack before it has sent anything", () => {
-    const allowance = new RepeatAllowance(BOUNDS);
-    const taken = Array.from({ length: 30 }, () => allowance.take(0, 6));
+    const allowance = new RetryAllowance(BOUNDS);
+    const taken = Array.from({ length: 30 }, () => allowance.tryTake(0, 6));
     expect(taken.filter(Boolean)).to.have.length(14);
   });
 
   it("gives it anew once the window is over", () => {
-    const allowance = new RepeatAllowance({ ...BOUNDS, slack: 1.2 });
-    expect(allowance.take(0, 1)).to.equal(true);
-    expect(allowance.take(9_000, 1)).to.equal(false);
-    expect(allowance.take(10_001, 1)).to.equal(true);
+    const allowance = new RetryAllowance({ ...BOUNDS, slack: 1.2 });
+    expect(allowance.tryTake(0, 1)).to.equal(true);
+    expect(allowance.tryTake(9_000, 1)).to.equal(false);
+    expect(allowance.tryTake(10_001, 1)).to.equal(true);
   });
 });
--- a/src/common/calls/route_table.ts
+++ b/src/common/calls/route_table.ts
@@ -25,7 +25,7 @@
   }
 
   /** The account that holds a key; null for a key that nobody holds. */
-  account(key: string | null): IAccount | null {
+  findAccount(key: string | null): IAccount | null {
     const accounts = this.configuration.accountsByKey;
     return key === null ? null : (accounts?.get(key) ?? null);
   }
--- a/src/common/calls/repeat_book_test.ts
+++ b/src/common/calls/service_retry_allowances_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import { ProcessCount } from "../replicas/process_count.ts";
-import { RepeatBook } from "./repeat_book.ts";
+import { ServiceRetryAllowances } from "./service_retry_allowances.ts";
 
 const SERVICE = "summaries";
 const PROCESSES = 6;
@@ -33,19 +33,19 @@
   advance(milliseconds: number): void {
     this.now += milliseconds;
     this.#counts.forEach((count, process) =>
-      count.take(this.#heard(process), this.now),
+      count.update(this.#heard(process), this.now),
     );
   }
 
   firstSend(process: number): void {
-    this.#books[process]?.firstSend(SERVICE, this.now);
+    this.#books[process]?.recordFirstSend(SERVICE, this.now);
     this.sent.push({ at: this.now, isRepeat: false });
   }
 
   /** Repeats as many as it may. */
   repeat(process: number, most: number): void {
     for (let made = 0; made < most; made += 1) {
-      if (!this.#books[process]?.take(SERVICE, this.now)) {
+      if (!this.#books[process]?.tryTake(SERVICE, this.now)) {
         return;
       }
       this.sent.push({ at: this.now, isRepeat: true });
@@ -64,10 +64,10 @@
     }
   }
 
-  #book(process: number): RepeatBook {
-    return new RepeatBook(BOUNDS, {
+  #book(process: number): ServiceRetryAllowances {
+    return new ServiceRetryAllowances(BOUNDS, {
       processes: () =>
-        this.#counts[process]?.take(this.#heard(process), this.now) ?? 1,
+        this.#counts[process]?.update(this.#heard(process), this.now) ?? 1,
       replacesAnotherSince: this.#startedAt[process] ?? null,
     });
   }
@@ -111,8 +111,8 @@
   // first start, where no other process can have used the share.
   it("are had at once by a process of the first start", () => {
     const sharing = { processes: () => PROCESSES, replacesAnotherSince: null };
-    const book = new RepeatBook(BOUNDS, sharing);
-    expect(book.take(SERVICE, 100)).to.equal(true);
+    const book = new ServiceRetryAllowances(BOUNDS, sharing);
+    expect(book.tryTake(SERVICE, 100)).to.equal(true);
   });
 
   // Guards against a share of the common allowance that is taken anew by each
--- a/src/common/calls/serving_groups.ts
+++ b/src/common/calls/serving_groups.ts
@@ -37,12 +37,12 @@
   }
 
   /** Requests in each group that others have sent; null when not known. */
-  tellOthers(counts: ReadonlyMap<string, number> | null): void {
+  setOthersInFlight(counts: ReadonlyMap<string, number> | null): void {
     this.#others = counts;
   }
 
   /** This process's requests in each group. */
-  get own(): ReadonlyMap<string, number> {
+  get ownInFlight(): ReadonlyMap<string, number> {
     return this.#own;
   }
 
@@ -50,7 +50,7 @@
     return this.#groups;
   }
 
-  of(service: ServiceName, model: string): readonly ILoadedGroup[] {
+  ofModel(service: ServiceName, model: string): readonly ILoadedGroup[] {
     return this.#groups
       .filter(
         (group) =>
@@ -58,9 +58,9 @@
       )
       .map((group) => ({
         ...group,
-        own: this.#own.get(group.group) ?? 0,
-        others: this.#others && (this.#others.get(group.group) ?? 0),
-        ownReading: this.#reading.get(group.group) ?? 0,
+        ownInFlight: this.#own.get(group.group) ?? 0,
+        othersInFlight: this.#others && (this.#others.get(group.group) ?? 0),
+        ownPrefillTime: this.#reading.get(group.group) ?? 0,
       }));
   }
 
@@ -69,18 +69,18 @@
   }
 
   /** @param readTime - milliseconds its prompt takes to read */
-  sent(group: string, readTime: number): void {
+  recordSend(group: string, readTime: number): void {
     this.#own.set(group, (this.#own.get(group) ?? 0) + 1);
     this.#reading.set(group, (this.#reading.get(group) ?? 0) + readTime);
   }
 
   /** A prompt was read, or will not be any more. */
-  read(group: string, readTime: number): void {
+  recordPrefillEnd(group: string, readTime: number): void {
     const left = (this.#reading.get(group) ?? 0) - readTime;
     this.#reading.set(group, Math.max(0, left));
   }
 
-  done(group: string): void {
+  recordEnd(group: string): void {
     const left = (this.#own.get(group) ?? 1) - 1;
     if (left > 0) {
       this.#own.set(group, left);
--- a/src/common/calls/silence_limits.ts
+++ b/src/common/calls/silence_limits.ts
@@ -38,14 +38,14 @@
   readonly group: string;
   readonly model: string;
   /** Milliseconds between events while one chunk of a prompt is read. */
-  readonly busyGap: number;
+  readonly gapDuringPrefill: number;
   /** The same while a chunk is read in each step. */
   readonly longestGap: number;
   /** Milliseconds its prompt takes to read. */
-  readonly readTime: number;
+  readonly prefillTime: number;
   sentAt: MonotonicTime;
   /** Null before its first event. */
-  heardAt: MonotonicTime | null;
+  lastEventAt: MonotonicTime | null;
 }
 
 /** The limits of one model's streams. */
@@ -54,30 +54,30 @@
   readonly #firsts = new Estimate();
 
   /** An event of the stream has come; its times are still those before it. */
-  heard(stream: IWatchedStream, now: MonotonicTime): void {
-    if (stream.heardAt === null) {
-      this.#firsts.add(now - stream.sentAt - stream.readTime);
+  recordEvent(stream: IWatchedStream, now: MonotonicTime): void {
+    if (stream.lastEventAt === null) {
+      this.#firsts.add(now - stream.sentAt - stream.prefillTime);
     } else {
-      this.#gaps.add(now - stream.heardAt);
+      this.#gaps.add(now - stream.lastEventAt);
     }
   }
 
   /** Milliseconds of silence from which its group is in doubt. */
-  doubt(stream: IWatchedStream): number {
-    const byModel = stream.busyGap * GAP_FACTOR;
+  suspicionLimit(stream: IWatchedStream): number {
+    const byModel = stream.gapDuringPrefill * GAP_FACTOR;
     const byGaps = Math.max(byModel, this.#gaps.limit, SHORTEST_LIMIT);
-    if (stream.heardAt !== null) {
+    if (stream.lastEventAt !== null) {
       return byGaps;
     }
     const first = Math.max(byGaps * FIRST_EVENT_FACTOR, this.#firsts.limit);
-    return first + stream.readTime;
+    return first + stream.prefillTime;
   }
 
   /** Milliseconds of silence from which it is taken elsewhere. */
-  stall(stream: IWatchedStream): number {
+  stallLimit(stream: IWatchedStream): number {
     const byModel = stream.longestGap * GAP_FACTOR;
-    const reading = stream.heardAt === null ? stream.readTime : 0;
-    return Math.max(byModel + reading, this.doubt(stream));
+    const reading = stream.lastEventAt === null ? stream.prefillTime : 0;
+    return Math.max(byModel + reading, this.suspicionLimit(stream));
   }
 }
 
--- a/src/common/calls/stall_watch.ts
+++ b/src/common/calls/stall_detector.ts
@@ -35,31 +35,31 @@
 /** What a check found. */
 export interface IStalls {
   /** Groups suspected from now on. */
-  readonly groups: readonly string[];
+  readonly suspectedGroups: readonly string[];
   /** Streams to be taken elsewhere. */
-  readonly streams: readonly IWatchedStream[];
+  readonly stalledStreams: readonly IWatchedStream[];
 }
 
 /** Watches the streams of one service in one process. */
-export class StallWatch {
+export class StallDetector {
   readonly #groups = new Map<string, IWatchedGroup>();
   /** By model. */
   readonly #limits = new Map<string, SilenceLimits>();
   #checkedAt: MonotonicTime | null = null;
 
   /** Whether a group is suspected and should get nothing. */
-  isSuspect(group: string, now: MonotonicTime): boolean {
+  isSuspected(group: string, now: MonotonicTime): boolean {
     return now < (this.#groups.get(group)?.suspectUntil ?? 0);
   }
 
   /** Groups suspected at this moment. */
-  suspects(now: MonotonicTime): readonly string[] {
+  suspectedGroups(now: MonotonicTime): readonly string[] {
     return [...this.#groups]
       .filter(([, { suspectUntil }]) => now < suspectUntil)
       .map(([name]) => name);
   }
 
-  sent(stream: IWatchedStream): void {
+  recordSend(stream: IWatchedStream): void {
     const group = this.#groupOf(stream.group, stream.sentAt);
     if (group.streams.size === 0) {
       group.heardAt = stream.sentAt;
@@ -68,21 +68,21 @@
   }
 
   /** An event of the stream arrived: its group moves. */
-  heard(stream: IWatchedStream, now: MonotonicTime): void {
-    this.#limitsOf(stream).heard(stream, now);
-    stream.heardAt = now;
+  recordEvent(stream: IWatchedStream, now: MonotonicTime): void {
+    this.#limitsOf(stream).recordEvent(stream, now);
+    stream.lastEventAt = now;
     const group = this.#groupOf(stream.group, now);
     group.heardAt = now;
     group.suspectUntil = 0;
   }
 
-  ended(stream: IWatchedStream): void {
+  removeStream(stream: IWatchedStream): void {
     const group = this.#groups.get(stream.group);
     group?.streams.delete(stream);
   }
 
   /** The group was seen to refuse or to break off: it is not used for a while. */
-  distrust(name: string, now: MonotonicTime): void {
+  suspect(name: string, now: MonotonicTime): void {
     this.#groupOf(name, now).suspectUntil = now + SUSPICION_TIME;
   }
 
@@ -109,27 +109,27 @@
         }
       }
     }
-    return { groups, streams };
+    return { suspectedGroups: groups, stalledStreams: streams };
   }
 
   /** Silence of all streams; each has its own limit and the longest counts. */
   #isInDoubt(group: IWatchedGroup, now: MonotonicTime): boolean {
     const silence = now - group.heardAt;
     return [...group.streams].every(
-      (stream) => silence > this.#limitsOf(stream).doubt(stream),
+      (stream) => silence > this.#limitsOf(stream).suspicionLimit(stream),
     );
   }
 
   #isStill(group: IWatchedGroup, now: MonotonicTime): boolean {
     const silence = now - group.heardAt;
     return [...group.streams].every(
-      (stream) => silence > this.#limitsOf(stream).stall(stream),
+      (stream) => silence > this.#limitsOf(stream).stallLimit(stream),
     );
   }
 
   #isAlone(stream: IWatchedStream, now: MonotonicTime): boolean {
-    const since = stream.heardAt ?? stream.sentAt;
-    const limit = this.#limitsOf(stream).doubt(stream) * ALONE_FACTOR;
+    const since = stream.lastEventAt ?? stream.sentAt;
+    const limit = this.#limitsOf(stream).suspicionLimit(stream) * ALONE_FACTOR;
     return now - since > limit;
   }
 
@@ -152,8 +152,8 @@
       group.heardAt = Math.min(now, group.heardAt + gap);
       for (const stream of group.streams) {
         stream.sentAt = Math.min(now, stream.sentAt + gap);
-        if (stream.heardAt !== null) {
-          stream.heardAt = Math.min(now, stream.heardAt + gap);
+        if (stream.lastEventAt !== null) {
+          stream.lastEventAt = Math.min(now, stream.lastEventAt + gap);
         }
       }
     }
--- a/src/common/calls/target_book.ts
+++ b/src/common/calls/target_registry.ts
@@ -7,7 +7,7 @@
  */
 import type { InstanceId, MonotonicTime, ServiceName } from "../types.ts";
 import type { ITargetChanges } from "../relay/types.ts";
-import type { IFollowedChange } from "./object_follower.ts";
+import type { IObjectChanges } from "./object_follower.ts";
 import { ListedState } from "./types.ts";
 import type { IListedTarget } from "./types.ts";
 
@@ -15,7 +15,7 @@
 export type DecodeTarget = (id: string, value: unknown) => IListedTarget | null;
 
 /** Targets by id. */
-export class TargetBook {
+export class TargetRegistry {
   readonly #decode: DecodeTarget;
   /** Milliseconds that a missing entry is kept after an outage. */
   readonly #reappearTime: number;
@@ -33,7 +33,7 @@
     return this.#targets;
   }
 
-  of(service: ServiceName): readonly IListedTarget[] {
+  ofService(service: ServiceName): readonly IListedTarget[] {
     return [...this.#targets.values()].filter(
       (target) => target.service === service,
     );
@@ -41,10 +41,12 @@
 
   /** Those of a service that may be sent new work. */
   ready(service: ServiceName): readonly IListedTarget[] {
-    return this.of(service).filter(({ state }) => state === ListedState.Ready);
+    return this.ofService(service).filter(
+      ({ state }) => state === ListedState.Ready,
+    );
   }
 
-  take(change: IFollowedChange, now: MonotonicTime): void {
+  applyStoreChanges(change: IObjectChanges, now: MonotonicTime): void {
     if (change.isAfterOutage) {
       this.#returnedAt = now;
     }
@@ -59,7 +61,7 @@
         this.#targets.delete(name);
       }
     }
-    const gone = change.isWhole
+    const gone = change.isFullList
       ? [...this.#targets.keys()].filter((id) => !named.has(id))
       : change.removed;
     for (const id of gone) {
@@ -68,7 +70,10 @@
   }
 
   /** Takes changes that another process has read. */
-  told({ targets, removed }: ITargetChanges, now: MonotonicTime): void {
+  applyRelayedChanges(
+    { targets, removed }: ITargetChanges,
+    now: MonotonicTime,
+  ): void {
     for (const target of targets) {
       this.#missing.delete(target.id);
       this.#targets.set(target.id, target);
@@ -79,7 +84,7 @@
   }
 
   /** Drops what has not come back; returns whether anything was dropped. */
-  expire(now: MonotonicTime): boolean {
+  removeExpired(now: MonotonicTime): boolean {
     let isChanged = false;
     for (const [id, until] of this.#missing) {
       if (now >= until) {
--- a/src/common/calls/target_book_test.ts
+++ b/src/common/calls/target_registry_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
-import { TargetBook } from "./target_book.ts";
-import type { IFollowedChange } from "./object_follower.ts";
+import { TargetRegistry } from "./target_registry.ts";
+import type { IObjectChanges } from "./object_follower.ts";
 import { ListedState } from "./types.ts";
 import type { IListedTarget } from "./types.ts";
 
@@ -22,12 +22,12 @@
   };
 }
 
-function change(part: Partial<IFollowedChange>): IFollowedChange {
+function change(part: Partial<IObjectChanges>): IObjectChanges {
   return {
     objects: [],
     removed: [],
     version: 1,
-    isWhole: false,
+    isFullList: false,
     isAfterOutage: false,
     ...part,
   };
@@ -37,17 +37,17 @@
   return { kind: "targets", name, version: 1, value };
 }
 
-function bookOf(...names: readonly string[]): TargetBook {
-  const book = new TargetBook(decode, REAPPEAR_TIME);
+function bookOf(...names: readonly string[]): TargetRegistry {
+  const book = new TargetRegistry(decode, REAPPEAR_TIME);
   const objects = names.map((name) => entry(name, "10.0.0.1:80"));
-  book.take(change({ objects, isWhole: true }), 0);
+  book.applyStoreChanges(change({ objects, isFullList: true }), 0);
   return book;
 }
 
 describe("the list of targets", () => {
   it("drops a removed target at once", () => {
     const book = bookOf("a", "b");
-    book.take(change({ removed: ["a"] }), 10_000);
+    book.applyStoreChanges(change({ removed: ["a"] }), 10_000);
     expect([...book.all.keys()]).to.deep.equal(["b"]);
   });
 
@@ -58,20 +58,26 @@
   it("keeps what is missing after an outage until it had time to return", () => {
     const book = bookOf("a", "b");
     const objects = [entry("b", "10.0.0.1:80")];
-    const whole = { objects, isWhole: true, isAfterOutage: true };
-    book.take(change(whole), 10_000);
+    const whole = { objects, isFullList: true, isAfterOutage: true };
+    book.applyStoreChanges(change(whole), 10_000);
     expect([...book.all.keys()]).to.deep.equal(["a", "b"]);
-    book.expire(10_000 + REAPPEAR_TIME - 1);
+    book.removeExpired(10_000 + REAPPEAR_TIME - 1);
     expect([...book.all.keys()]).to.deep.equal(["a", "b"]);
-    expect(book.expire(10_000 + REAPPEAR_TIME)).to.equal(true);
+    expect(book.removeExpired(10_000 + REAPPEAR_TIME)).to.equal(true);
     expect([...book.all.keys()]).to.deep.equal(["b"]);
   });
 
   it("keeps one that is back by then", () => {
     const book = bookOf("a");
-    book.take(change({ isWhole: true, isAfterOutage: true }), 10_000);
-    book.take(change({ objects: [entry("a", "10.0.0.2:80")] }), 11_000);
-    expect(book.expire(20_000)).to.equal(false);
+    book.applyStoreChanges(
+      change({ isFullList: true, isAfterOutage: true }),
+      10_000,
+    );
+    book.applyStoreChanges(
+      change({ objects: [entry("a", "10.0.0.2:80")] }),
+      11_000,
+    );
+    expect(book.removeExpired(20_000)).to.equal(false);
     expect(book.all.get("a")?.address).to.equal("10.0.0.2:80");
   });
 
@@ -79,7 +85,10 @@
   // target to use; the others must not suffer for it.
   it("takes an unreadable entry for no target", () => {
     const book = bookOf("a", "b");
-    book.take(change({ objects: [entry("a", { address: 7 })] }), 10_000);
+    book.applyStoreChanges(
+      change({ objects: [entry("a", { address: 7 })] }),
+      10_000,
+    );
     expect([...book.all.keys()]).to.deep.equal(["b"]);
   });
 });
--- a/src/common/calls/types.ts
+++ b/src/common/calls/types.ts
@@ -78,7 +78,7 @@
 }
 
 /** How the engines of a service run; figures published with the service. */
-export interface IEngineModel {
+export interface IEngineProfile {
   readonly models: readonly IModel[];
   /** Requests that a group runs at once. */
   readonly slots: number;
@@ -112,7 +112,7 @@
 export interface IServiceEntry {
   readonly name: ServiceName;
   /** Null for a plain service. */
-  readonly engine: IEngineModel | null;
+  readonly engine: IEngineProfile | null;
 }
 
 /** What callers may send. */
@@ -186,7 +186,7 @@
 export interface IOpaqueMessage {
   readonly method: string;
   /** Path and query as received. */
-  readonly target: string;
+  readonly requestTarget: string;
   /** Names and values by turns, without those that the path sets itself. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
@@ -214,19 +214,19 @@
   /** When the caller no longer waits, or may no longer be kept waiting. */
   readonly deadline: MonotonicTime;
   /** The last event that the caller has; null for a new stream. */
-  readonly lastEvent: string | null;
+  readonly lastEventId: string | null;
   readonly message: IOpaqueMessage;
 }
 
 /** Status and headers of a target's answer. */
-export interface IAnswerHead {
+export interface IResponseHead {
   readonly status: number;
   /** Names and values by turns, fit to be passed on. */
   readonly headers: readonly string[];
   /** The target said that it has not run the call and will not. */
   readonly isNotRun: boolean;
   /** The answer names another request: it is not ours. */
-  readonly isForeign: boolean;
+  readonly isForOtherRequest: boolean;
   /** Requests running and waiting, and slots, where the target tells them. */
   readonly load: ITargetLoad | null;
 }
@@ -247,15 +247,15 @@
 }
 
 /** Receives one answer. Exactly one of `ended` and `failed` comes last. */
-export interface IAnswerReceiver {
-  head(head: IAnswerHead): void;
-  piece(bytes: Uint8Array): void;
-  ended(): void;
-  failed(failure: SendFailure, detail: string): void;
+export interface IResponseReceiver {
+  onHead(head: IResponseHead): void;
+  onData(bytes: Uint8Array): void;
+  onEnd(): void;
+  onFailure(failure: SendFailure, detail: string): void;
 }
 
 /** A call on its way to one target. */
-export interface IOpenSend {
+export interface ISendHandle {
   /** Gives it up; the receiver hears nothing more. */
   abort(): void;
 }
@@ -271,7 +271,7 @@
   /** Milliseconds that are left to the target. */
   readonly timeLeft: number;
   /** The last event that the caller has; null from the start. */
-  readonly lastEvent: string | null;
+  readonly lastEventId: string | null;
   /** A connection of its own, since a kept one may have gone silent. */
   readonly onNewConnection: boolean;
 }
@@ -281,12 +281,12 @@
   send(
     target: ISendTarget,
     call: ICall,
-    options: ISendOptions & { readonly receiver: IAnswerReceiver },
-  ): IOpenSend;
+    options: ISendOptions & { readonly receiver: IResponseReceiver },
+  ): ISendHandle;
 }
 
 /** Why a call ended without a target's answer. */
-export enum CallEnd {
+export enum CallRefusalKind {
   /** It has not run and will not; the caller may come back. */
   NotRun = "not_run",
   /** It may have run; a target broke off. */
@@ -296,7 +296,7 @@
 }
 
 /** The reason of a call's end, as logged and counted. */
-export enum CallReason {
+export enum CallRefusalReason {
   Starting = "starting",
   Stopping = "stopping",
   NoGroup = "no_group",
@@ -311,8 +311,8 @@
 
 /** The final word on a call without a target's answer. */
 export interface ICallRefusal {
-  readonly end: CallEnd;
-  readonly reason: CallReason;
+  readonly kind: CallRefusalKind;
+  readonly reason: CallRefusalReason;
   /** Milliseconds after which to come back; 0 at once. */
   readonly retryAfter: number;
 }
@@ -320,14 +320,14 @@
 /** The caller's side of a call. */
 export interface ICallReply {
   /** Whether the head has been passed on. */
-  readonly isBegun: boolean;
+  readonly isStarted: boolean;
   /** Passes on a head. @param length - bytes of the body; null: a stream. */
-  begin(head: IAnswerHead, length: number | null): void;
-  piece(bytes: Uint8Array): void;
+  start(head: IResponseHead, length: number | null): void;
+  write(bytes: Uint8Array): void;
   /** The answer is whole. */
   end(): void;
   /** Ends a call that has no answer; nothing may have begun. */
   refuse(refusal: ICallRefusal): void;
   /** Resets the connection, since a begun answer cannot be completed. */
-  breakOff(): void;
+  reset(): void;
 }
--- a/src/common/calls/zone_reach.ts
+++ b/src/common/calls/zone_reachability.ts
@@ -28,7 +28,7 @@
 }
 
 /** The zones as reached by one process. */
-export class ZoneReach {
+export class ZoneReachability {
   readonly #own: ZoneName;
   readonly #zones = new Map<ZoneName, IZoneState>();
 
@@ -38,12 +38,12 @@
   }
 
   /** An event came from a group of the zone. */
-  heard(zone: ZoneName): void {
+  recordEvent(zone: ZoneName): void {
     this.#zones.delete(zone);
   }
 
   /** A group of the zone did not connect, or fell silent. */
-  missed(zone: ZoneName, group: string, now: MonotonicTime): void {
+  recordUnreachable(zone: ZoneName, group: string, now: MonotonicTime): void {
     if (zone === this.#own) {
       return;
     }
@@ -64,7 +64,7 @@
   }
 
   /** A call was sent there. */
-  sent(zone: ZoneName, now: MonotonicTime): void {
+  recordSend(zone: ZoneName, now: MonotonicTime): void {
     const state = this.#zones.get(zone);
     if (state !== undefined) {
       state.triedAt = now;
--- a/src/common/decisions/admission.ts
+++ b/src/common/decisions/account_admission.ts
@@ -30,7 +30,7 @@
 }
 
 /** A rate that may be saved up to a capacity. */
-class Allowance {
+class RateBucket {
   #left: number | null = null;
   #filledAt: MonotonicTime = 0;
 
@@ -43,7 +43,7 @@
   }
 
   /** Milliseconds until so much is there; 0 if it is. */
-  wait(amount: number, perSecond: number): number {
+  timeUntil(amount: number, perSecond: number): number {
     const missing = Math.max(0, amount - (this.#left ?? 0));
     return Math.ceil((missing / perSecond) * MILLISECONDS_PER_SECOND);
   }
@@ -54,9 +54,9 @@
 }
 
 /** One account's use of its plan in this daemon. */
-export class AccountUse {
-  readonly #requests = new Allowance();
-  readonly #tokens = new Allowance();
+export class AccountAdmission {
+  readonly #requests = new RateBucket();
+  readonly #tokens = new RateBucket();
   #inFlight = 0;
 
   get inFlight(): number {
@@ -66,9 +66,13 @@
   /**
    * Takes a slot, or says why not; each admission is ended by `finished`.
    *
-   * @param asked Tokens the answer may have at most; 0 for a plain call.
+   * @param requested Tokens the answer may have at most; 0 for a plain call.
    */
-  admit(plan: IPlan, asked: number, now: MonotonicTime): IPlanRefusal | null {
+  admit(
+    plan: IPlan,
+    requested: number,
+    now: MonotonicTime,
+  ): IPlanRefusal | null {
     const reason = Reason.OverLimit;
     const tokenRate = plan.tokensPerMinute / SECONDS_PER_MINUTE;
     const tokenCapacity = tokenRate * TOKEN_BURST_SECONDS;
@@ -79,23 +83,23 @@
       return { reason, retryAfter: BUSY_RETRY_AFTER };
     }
     // An answer larger than the whole allowance is let in when it is full.
-    const needed = Math.min(asked, tokenCapacity);
+    const needed = Math.min(requested, tokenCapacity);
     const retryAfter = Math.max(
-      this.#requests.wait(1, plan.requestsPerSecond),
-      this.#tokens.wait(needed, tokenRate),
+      this.#requests.timeUntil(1, plan.requestsPerSecond),
+      this.#tokens.timeUntil(needed, tokenRate),
     );
     if (retryAfter > 0) {
       return { reason, retryAfter };
     }
     this.#requests.take(1);
-    this.#tokens.take(asked);
+    this.#tokens.take(requested);
     this.#inFlight += 1;
     return null;
   }
 
   /** An admitted request has had its final answer. */
-  finished(asked: number, used: number): void {
+  finish(requested: number, used: number): void {
     this.#inFlight -= 1;
-    this.#tokens.take(used - asked);
+    this.#tokens.take(used - requested);
   }
 }
--- a/src/common/decisions/admission_test.ts
+++ b/src/common/decisions/account_admission_test.ts
@@ -1,7 +1,7 @@
 /** Admission by plan, on a fake clock. */
 import { expect } from "chai";
 import type { IPlan } from "../plans/types.ts";
-import { AccountUse } from "./admission.ts";
+import { AccountAdmission } from "./account_admission.ts";
 
 const PLAN: IPlan = {
   name: "newsroom",
@@ -15,10 +15,10 @@
 
 describe("admission by plan", () => {
   it("says when the next request will be within the plan's rate", () => {
-    const use = new AccountUse();
+    const use = new AccountAdmission();
     for (let index = 0; index < PLAN.requestsPerSecond; index++) {
       expect(use.admit(PLAN, 1, 0)).to.equal(null);
-      use.finished(1, 1);
+      use.finish(1, 1);
     }
     const refused = use.admit(PLAN, 1, 0);
     expect(refused?.retryAfter).to.equal(100);
@@ -26,20 +26,20 @@
   });
 
   it("bounds requests in flight", () => {
-    const use = new AccountUse();
+    const use = new AccountAdmission();
     for (let index = 0; index < PLAN.requestsInFlight; index++) {
       expect(use.admit(PLAN, 1, 0)).to.equal(null);
     }
     expect(use.admit(PLAN, 1, 0)).to.not.equal(null);
-    use.finished(1, 1);
+    use.finish(1, 1);
     expect(use.admit(PLAN, 1, 0)).to.equal(null);
   });
 
   it("counts tokens as asked, and settles what was not made", () => {
-    const use = new AccountUse();
+    const use = new AccountAdmission();
     expect(use.admit(PLAN, 5_000, 0)).to.equal(null);
     expect(use.admit(PLAN, 2_000, 0)?.retryAfter).to.equal(10_000);
-    use.finished(5_000, 1_000);
+    use.finish(5_000, 1_000);
     expect(use.admit(PLAN, 2_000, 0)).to.equal(null);
   });
 });
--- a/src/common/decisions/group_limit.ts
+++ b/src/common/decisions/adaptive_limit.ts
@@ -14,13 +14,13 @@
  * tokens for 95 in 100.
  */
 import type { MonotonicTime } from "../types.ts";
-import type { IWork } from "./work.ts";
+import type { IWorkItem } from "./work_item.ts";
 
 /** Time to a first token that is still good, milliseconds. */
-export const FIRST_TOKEN_AIM = 820;
+export const FIRST_TOKEN_OBJECTIVE = 820;
 
 /** Time between tokens that is still good, milliseconds. */
-export const TOKEN_GAP_AIM = 58;
+export const TOKEN_GAP_OBJECTIVE = 58;
 
 /**
  * Time between tokens above which the limit falls. Fallen at the aim itself, a
@@ -28,13 +28,13 @@
  * more tokens in all. At twice the aim text still comes faster than it is read;
  * a batch that goes past it gives hardly more tokens.
  */
-const TOKEN_GAP_BOUND = 2 * TOKEN_GAP_AIM;
+const TOKEN_GAP_BOUND = 2 * TOKEN_GAP_OBJECTIVE;
 
 /**
  * Time inside the target before the first token above which the limit falls:
  * half the aim, the other half is for waiting here. Longer prompts get more.
  */
-export const FIRST_TOKEN_BOUND = FIRST_TOKEN_AIM / 2;
+export const FIRST_TOKEN_BOUND = FIRST_TOKEN_OBJECTIVE / 2;
 const BOUND_PER_PROMPT_TOKEN = 0.2;
 
 /** Share of the time to its deadline that work may spend running. */
@@ -82,13 +82,13 @@
  * even an account with nothing waiting was refused, since no request could
  * have been answered in time any more.
  */
-export function tokenGapBound(work: IWork): number {
+export function tokenGapBound(work: IWorkItem): number {
   const available = (work.deadline - work.arrivedAt) * RUN_SHARE;
   return Math.min(TOKEN_GAP_BOUND, available / work.askedTokens);
 }
 
 /** The limit of one target. */
-export class GroupLimit {
+export class AdaptiveLimit {
   #limit = STARTING_LIMIT;
   #isRamping = true;
   #changedAt: MonotonicTime = 0;
@@ -106,7 +106,11 @@
    * changed say nothing of the present one: counting them makes it fall again
    * and again while the target still works off what it had.
    */
-  firstToken(isLate: boolean, sentAt: MonotonicTime, now: MonotonicTime): void {
+  recordFirstToken(
+    isLate: boolean,
+    sentAt: MonotonicTime,
+    now: MonotonicTime,
+  ): void {
     if (sentAt >= this.#changedAt) {
       this.#firstTokens.samples += 1;
       this.#firstTokens.late += isLate ? 1 : 0;
@@ -115,14 +119,14 @@
   }
 
   /** A later token came. */
-  tokenGap(isLate: boolean, now: MonotonicTime): void {
+  recordTokenGap(isLate: boolean, now: MonotonicTime): void {
     this.#gaps.samples += 1;
     this.#gaps.late += isLate ? 1 : 0;
     this.#endWindow(now);
   }
 
   /** The target has this much work: a limit not in use does not rise. */
-  inUse(load: number): void {
+  recordLoad(load: number): void {
     this.#highest = Math.max(this.#highest, load);
   }
 
--- a/src/common/decisions/fair_queue.ts
+++ b/src/common/decisions/fair_queue.ts
@@ -12,14 +12,14 @@
  * itself.
  */
 import type { AccountName } from "../types.ts";
-import { costOf, isLong } from "./work.ts";
-import type { IWork } from "./work.ts";
+import { costOf, isLong } from "./work_item.ts";
+import type { IWorkItem } from "./work_item.ts";
 
 /** Requests that may wait in one priority; memory, about 1 KB each. */
 export const MAXIMUM_WAITING = 1_000;
 
 /** Which work there is room for. */
-export interface IRoom {
+export interface IFreeSlots {
   readonly forShort: boolean;
   readonly forLong: boolean;
 }
@@ -28,12 +28,12 @@
   readonly account: AccountName;
   priority: number;
   /** Cost given so far, on the queue's virtual clock. */
-  served: number;
+  servedCost: number;
   /** Cost waiting. */
-  waiting: number;
+  waitingCost: number;
   /** In order of deadline. */
-  readonly short: IWork[];
-  readonly long: IWork[];
+  readonly short: IWorkItem[];
+  readonly long: IWorkItem[];
 }
 
 /** The waiting work of one service. */
@@ -48,7 +48,7 @@
   }
 
   /** Adds work; returns what had to leave for it, which may be itself. */
-  add(work: IWork): IWork | null {
+  add(work: IWorkItem): IWorkItem | null {
     const queue = this.#queueOf(work);
     const lane = laneOf(queue, work);
     let index = lane.length;
@@ -62,7 +62,7 @@
   }
 
   /** The next work there is room for; null when there is none. */
-  take(room: IRoom): IWork | null {
+  take(room: IFreeSlots): IWorkItem | null {
     let best: IAccountQueue | null = null;
     for (const queue of this.#accounts.values()) {
       if (head(queue, room) !== null && goesBefore(queue, best)) {
@@ -74,8 +74,8 @@
       return null;
     }
     laneOf(best, work).shift();
-    this.#virtualTime = Math.max(this.#virtualTime, best.served);
-    best.served += costOf(work);
+    this.#virtualTime = Math.max(this.#virtualTime, best.servedCost);
+    best.servedCost += costOf(work);
     this.#count(best, work, -1);
     return work;
   }
@@ -87,7 +87,7 @@
   }
 
   /** Removes work whose caller is gone. */
-  remove(work: IWork): boolean {
+  remove(work: IWorkItem): boolean {
     const queue = this.#accounts.get(work.account);
     const lane = queue && laneOf(queue, work);
     const index = lane?.indexOf(work) ?? -1;
@@ -100,8 +100,8 @@
   }
 
   /** Removes and returns all work for which the condition holds. */
-  removeWhere(condition: (work: IWork) => boolean): readonly IWork[] {
-    const removed: IWork[] = [];
+  removeWhere(condition: (work: IWorkItem) => boolean): readonly IWorkItem[] {
+    const removed: IWorkItem[] = [];
     for (const queue of this.#accounts.values()) {
       removed.push(...queue.short.filter(condition));
       removed.push(...queue.long.filter(condition));
@@ -116,8 +116,8 @@
    * Cost expected to leave before new work of an account: all of higher
    * priorities, and of its own priority at most what fairness lets pass.
    */
-  costAhead(work: IWork): number {
-    const own = this.#accounts.get(work.account)?.waiting ?? 0;
+  costAhead(work: IWorkItem): number {
+    const own = this.#accounts.get(work.account)?.waitingCost ?? 0;
     const turn = own + costOf(work);
     let ahead = own;
     for (const queue of this.#accounts.values()) {
@@ -125,18 +125,18 @@
         continue;
       }
       if (queue.priority > work.priority) {
-        ahead += queue.waiting;
+        ahead += queue.waitingCost;
       } else if (queue.priority === work.priority) {
-        ahead += Math.min(queue.waiting, turn);
+        ahead += Math.min(queue.waitingCost, turn);
       }
     }
     return ahead;
   }
 
-  #pushOut(priority: number): IWork | null {
+  #pushOut(priority: number): IWorkItem | null {
     let heaviest: IAccountQueue | null = null;
     for (const queue of this.#accounts.values()) {
-      const isHeavier = queue.waiting > (heaviest?.waiting ?? 0);
+      const isHeavier = queue.waitingCost > (heaviest?.waitingCost ?? 0);
       if (queue.priority === priority && isHeavier) {
         heaviest = queue;
       }
@@ -149,7 +149,7 @@
     return latest;
   }
 
-  #queueOf(work: IWork): IAccountQueue {
+  #queueOf(work: IWorkItem): IAccountQueue {
     const found = this.#accounts.get(work.account);
     if (found !== undefined) {
       return found;
@@ -157,8 +157,8 @@
     const queue: IAccountQueue = {
       account: work.account,
       priority: work.priority,
-      served: this.#virtualTime,
-      waiting: 0,
+      servedCost: this.#virtualTime,
+      waitingCost: 0,
       short: [],
       long: [],
     };
@@ -166,26 +166,26 @@
     return queue;
   }
 
-  #count(queue: IAccountQueue, work: IWork, by: 1 | -1): void {
+  #count(queue: IAccountQueue, work: IWorkItem, by: 1 | -1): void {
     const size = this.#sizes.get(queue.priority) ?? 0;
     this.#sizes.set(queue.priority, size + by);
     this.#size += by;
-    queue.waiting += by * costOf(work);
+    queue.waitingCost += by * costOf(work);
     const isEmpty = queue.short.length + queue.long.length === 0;
     // An account that has caught up is forgotten: it owes nothing, and names
     // of accounts long gone would otherwise be kept for good.
-    if (isEmpty && queue.served <= this.#virtualTime) {
+    if (isEmpty && queue.servedCost <= this.#virtualTime) {
       this.#accounts.delete(queue.account);
     }
   }
 }
 
-function laneOf(queue: IAccountQueue, work: IWork): IWork[] {
+function laneOf(queue: IAccountQueue, work: IWorkItem): IWorkItem[] {
   return isLong(work) ? queue.long : queue.short;
 }
 
 /** The earliest deadline among the work there is room for. */
-function head(queue: IAccountQueue, room: IRoom): IWork | null {
+function head(queue: IAccountQueue, room: IFreeSlots): IWorkItem | null {
   const short = room.forShort ? queue.short[0] : undefined;
   const long = room.forLong ? queue.long[0] : undefined;
   if (short === undefined || long === undefined) {
@@ -199,6 +199,6 @@
     return true;
   }
   return queue.priority === other.priority
-    ? queue.served < other.served
+    ? queue.servedCost < other.servedCost
     : queue.priority > other.priority;
 }
--- a/src/common/decisions/fair_queue_test.ts
+++ b/src/common/decisions/fair_queue_test.ts
@@ -2,13 +2,13 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import { FairQueue, MAXIMUM_WAITING } from "./fair_queue.ts";
-import { costOf } from "./work.ts";
-import type { IWork } from "./work.ts";
+import { costOf } from "./work_item.ts";
+import type { IWorkItem } from "./work_item.ts";
 
 const SEED = 20_261;
 const ROOM = { forShort: true, forLong: true };
 
-function makeWork(index: number, rest: Partial<IWork> = {}): IWork {
+function makeWork(index: number, rest: Partial<IWorkItem> = {}): IWorkItem {
   return {
     id: `request-${index}`,
     account: "desk",
@@ -43,7 +43,7 @@
         }
         const left = { one: ones.length, other: others.length };
         while (left.one > 0 && left.other > 0) {
-          const work = queue.take(ROOM) as IWork;
+          const work = queue.take(ROOM) as IWorkItem;
           left[work.account as "one" | "other"] -= 1;
           const before = given.get(work.account) ?? 0;
           given.set(work.account, before + costOf(work));
--- a/src/common/decisions/limit_share.ts
+++ b/src/common/decisions/limit_share.ts
@@ -24,7 +24,7 @@
 export const LOAN_TIME = 4_000;
 
 /** How much longer the lender waits: two hundredths of it, and a pause. */
-export const LAPSE_MARGIN = 1_000;
+export const LOAN_EXPIRY_MARGIN = 1_000;
 
 /** Share of its base that a daemon always keeps, to notice its own demand. */
 const KEPT_SHARE = 0.1;
@@ -49,7 +49,7 @@
   readonly amount: number;
 }
 
-interface IHeld {
+interface IActiveLoan {
   readonly amount: number;
   readonly until: MonotonicTime;
 }
@@ -59,8 +59,8 @@
   readonly #self: DaemonId;
   readonly #base: number;
   /** By borrower, which counts only one of them at a time. */
-  readonly #given = new Map<DaemonId, readonly IHeld[]>();
-  readonly #taken = new Map<DaemonId, IHeld>();
+  readonly #given = new Map<DaemonId, readonly IActiveLoan[]>();
+  readonly #taken = new Map<DaemonId, IActiveLoan>();
   readonly #asked = new Map<number, MonotonicTime>();
   #number = 0;
 
@@ -84,7 +84,7 @@
    * Asks for a loan, or for its renewal, where demand is above this daemon's
    * own part; null if it is not. To be called once a second.
    */
-  ask(demand: number, now: MonotonicTime): ILoanRequest | null {
+  requestLoan(demand: number, now: MonotonicTime): ILoanRequest | null {
     this.#lapse(now);
     const own = this.#base - this.#lentExcept("");
     const missing = demand * HEADROOM - own;
@@ -110,14 +110,14 @@
     if (amount <= 0) {
       return null;
     }
-    const until = now + LOAN_TIME + LAPSE_MARGIN;
+    const until = now + LOAN_TIME + LOAN_EXPIRY_MARGIN;
     const before = this.#given.get(borrower) ?? [];
     this.#given.set(borrower, [...before, { amount, until }]);
     return { lender: this.#self, borrower, number, amount };
   }
 
   /** Takes a loan, if it is still in time; counted from when it was asked. */
-  take(loan: ILoan, now: MonotonicTime): void {
+  acceptLoan(loan: ILoan, now: MonotonicTime): void {
     const askedAt = this.#asked.get(loan.number);
     if (loan.borrower !== this.#self || askedAt === undefined) {
       return;
--- a/src/common/decisions/limit_share_test.ts
+++ b/src/common/decisions/limit_share_test.ts
@@ -54,7 +54,7 @@
 
   ask(daemon: number, demand: number): void {
     this.demands[daemon] = demand;
-    const request = this.shares[daemon]?.ask(demand, this.now) ?? null;
+    const request = this.shares[daemon]?.requestLoan(demand, this.now) ?? null;
     if (request !== null) {
       for (let to = 0; to < DAEMONS; to++) {
         if (to !== daemon) {
@@ -67,7 +67,7 @@
   deliver(message: Message): void {
     const share = this.shares[message.to] as LimitShare;
     if ("loan" in message) {
-      share.take(message.loan, this.now);
+      share.acceptLoan(message.loan, this.now);
       return;
     }
     const demand = this.demands[message.to] ?? 0;
--- a/src/common/decisions/slow_target.ts
+++ b/src/common/decisions/outlier_detector.ts
@@ -32,7 +32,7 @@
 const NEWEST_WEIGHT = 1 / 16;
 
 /** Largest share of a service set aside; a single one of two or more may be. */
-export const LARGEST_SHARE_ASIDE = 0.25;
+export const MAX_SHARE_SET_ASIDE = 0.25;
 
 /** First time away, milliseconds; doubled on each return that fails. */
 const FIRST_TIME_AWAY = 10_000;
@@ -48,21 +48,21 @@
 }
 
 /** Where a target stands. */
-export enum Standing {
+export enum TargetHealth {
   InService = "in_service",
   SetAside = "set_aside",
   /** Takes one request at a time. */
   Probation = "probation",
 }
 
-interface IWatched {
-  standing: Standing;
+interface ITargetStatistics {
+  health: TargetHealth;
   tokenGap: number;
-  samples: number;
+  tokenGapSamples: number;
   firstToken: number;
-  firstTokens: number;
+  firstTokenSamples: number;
   /** When any token came from it. */
-  heardAt: MonotonicTime;
+  lastTokenAt: MonotonicTime;
   awayUntil: MonotonicTime;
   timeAway: number;
   /** Requests without a first token, in the order they were sent. */
@@ -70,50 +70,66 @@
 }
 
 /** Watches the targets of one service. */
-export class SlowTargets {
-  readonly #targets = new Map<string, IWatched>();
+export class OutlierDetector {
+  readonly #targets = new Map<string, ITargetStatistics>();
   #medianGap = 0;
   #medianFirst = 0;
 
-  standing(target: string): Standing {
-    return this.#targets.get(target)?.standing ?? Standing.InService;
+  healthOf(target: string): TargetHealth {
+    return this.#targets.get(target)?.health ?? TargetHealth.InService;
   }
 
   /** Time between its tokens as a multiple of the median; 1 if not known. */
-  pace(target: string): number {
+  paceOf(target: string): number {
     const watched = this.#targets.get(target);
-    if (!watched || watched.samples < MINIMUM_SAMPLES || !this.#medianGap) {
+    if (
+      !watched ||
+      watched.tokenGapSamples < MINIMUM_SAMPLES ||
+      !this.#medianGap
+    ) {
       return 1;
     }
     return Math.max(1, watched.tokenGap / this.#medianGap);
   }
 
   /** A request was sent. */
-  sent(request: ISentRequest): void {
+  recordSent(request: ISentRequest): void {
     this.#watchedOf(request.target).unanswered.add(request);
   }
 
   /** A request has its first token, or has ended without one. */
-  answered(request: ISentRequest): void {
+  clearUnanswered(request: ISentRequest): void {
     this.#watchedOf(request.target).unanswered.delete(request);
   }
 
-  firstToken(target: string, milliseconds: number, now: MonotonicTime): void {
+  recordFirstToken(
+    target: string,
+    milliseconds: number,
+    now: MonotonicTime,
+  ): void {
     const watched = this.#watchedOf(target);
-    watched.heardAt = now;
+    watched.lastTokenAt = now;
     watched.firstToken = average(
       watched.firstToken,
       milliseconds,
-      watched.firstTokens,
+      watched.firstTokenSamples,
     );
-    watched.firstTokens += 1;
+    watched.firstTokenSamples += 1;
   }
 
-  tokenGap(target: string, milliseconds: number, now: MonotonicTime): void {
+  recordTokenGap(
+    target: string,
+    milliseconds: number,
+    now: MonotonicTime,
+  ): void {
     const watched = this.#watchedOf(target);
-    watched.heardAt = now;
-    watched.tokenGap = average(watched.tokenGap, milliseconds, watched.samples);
-    watched.samples += 1;
+    watched.lastTokenAt = now;
+    watched.tokenGap = average(
+      watched.tokenGap,
+      milliseconds,
+      watched.tokenGapSamples,
+    );
+    watched.tokenGapSamples += 1;
   }
 
   /** Compares the targets; to be called about twice a second. */
@@ -123,55 +139,56 @@
     this.#medianGap = median(watched, "tokenGap");
     this.#medianFirst = median(watched, "firstToken");
     let aside = watched.filter(
-      (entry) => entry.standing !== Standing.InService,
+      (entry) => entry.health !== TargetHealth.InService,
     );
-    const most = Math.max(1, Math.floor(targets.length * LARGEST_SHARE_ASIDE));
+    const most = Math.max(1, Math.floor(targets.length * MAX_SHARE_SET_ASIDE));
     for (const entry of watched) {
       const mayGo = targets.length > 1 && aside.length < most;
       this.#judge(entry, now, mayGo);
-      aside = watched.filter(({ standing }) => standing !== Standing.InService);
+      aside = watched.filter(({ health }) => health !== TargetHealth.InService);
     }
   }
 
-  #judge(entry: IWatched, now: MonotonicTime, mayGo: boolean): void {
+  #judge(entry: ITargetStatistics, now: MonotonicTime, mayGo: boolean): void {
     const isBad = this.#isSlow(entry) || this.#isSilent(entry, now);
-    if (entry.standing === Standing.InService && isBad && mayGo) {
+    if (entry.health === TargetHealth.InService && isBad && mayGo) {
       this.#setAside(entry, now);
-    } else if (entry.standing === Standing.SetAside) {
+    } else if (entry.health === TargetHealth.SetAside) {
       if (now >= entry.awayUntil) {
-        entry.standing = Standing.Probation;
-        entry.samples = 0;
-        entry.firstTokens = 0;
+        entry.health = TargetHealth.Probation;
+        entry.tokenGapSamples = 0;
+        entry.firstTokenSamples = 0;
       }
-    } else if (entry.standing === Standing.Probation) {
+    } else if (entry.health === TargetHealth.Probation) {
       if (isBad) {
         entry.timeAway = Math.min(LONGEST_TIME_AWAY, entry.timeAway * 2);
         this.#setAside(entry, now);
-      } else if (entry.samples >= PROBATION_SAMPLES) {
-        entry.standing = Standing.InService;
+      } else if (entry.tokenGapSamples >= PROBATION_SAMPLES) {
+        entry.health = TargetHealth.InService;
         entry.timeAway = FIRST_TIME_AWAY;
       }
     }
   }
 
-  #setAside(entry: IWatched, now: MonotonicTime): void {
-    entry.standing = Standing.SetAside;
+  #setAside(entry: ITargetStatistics, now: MonotonicTime): void {
+    entry.health = TargetHealth.SetAside;
     entry.awayUntil = now + entry.timeAway;
   }
 
-  #isSlow(entry: IWatched): boolean {
-    const isKnown = entry.samples >= MINIMUM_SAMPLES && this.#medianGap > 0;
+  #isSlow(entry: ITargetStatistics): boolean {
+    const isKnown =
+      entry.tokenGapSamples >= MINIMUM_SAMPLES && this.#medianGap > 0;
     return isKnown && entry.tokenGap > this.#medianGap * SLOW_FACTOR;
   }
 
   /** A target whose tokens still come to others is loaded, not silent. */
-  #isSilent(entry: IWatched, now: MonotonicTime): boolean {
+  #isSilent(entry: ITargetStatistics, now: MonotonicTime): boolean {
     const [oldest] = entry.unanswered;
     if (oldest === undefined) {
       return false;
     }
     const patience = this.#medianFirst * SILENT_FACTOR;
-    const quietSince = Math.max(oldest.sentAt, entry.heardAt);
+    const quietSince = Math.max(oldest.sentAt, entry.lastTokenAt);
     return now - quietSince > Math.max(SHORTEST_SILENCE, patience);
   }
 
@@ -187,16 +204,16 @@
     }
   }
 
-  #watchedOf(target: string): IWatched {
+  #watchedOf(target: string): ITargetStatistics {
     let watched = this.#targets.get(target);
     if (watched === undefined) {
       watched = {
-        standing: Standing.InService,
+        health: TargetHealth.InService,
         tokenGap: 0,
-        samples: 0,
+        tokenGapSamples: 0,
         firstToken: 0,
-        firstTokens: 0,
-        heardAt: 0,
+        firstTokenSamples: 0,
+        lastTokenAt: 0,
         awayUntil: 0,
         timeAway: FIRST_TIME_AWAY,
         unanswered: new Set(),
@@ -213,7 +230,7 @@
 }
 
 function median(
-  watched: readonly IWatched[],
+  watched: readonly ITargetStatistics[],
   field: "tokenGap" | "firstToken",
 ): number {
   const known = watched
--- a/src/common/decisions/prefix_memory.ts
+++ b/src/common/decisions/prefix_affinity.ts
@@ -14,16 +14,16 @@
 const NONE: readonly string[] = [];
 
 /** Prefixes and their last targets, the least recently used forgotten first. */
-export class PrefixMemory {
+export class PrefixAffinity {
   readonly #holders = new Map<string, string[]>();
 
   /** Targets the prefix was sent to, the latest first. */
-  holders(prefix: string): readonly string[] {
+  targetsOf(prefix: string): readonly string[] {
     return this.#holders.get(prefix) ?? NONE;
   }
 
   /** Notes that work with the prefix was sent to the target. */
-  note(prefix: string, target: string): void {
+  recordSent(prefix: string, target: string): void {
     if (prefix === "") {
       return;
     }
--- a/src/common/decisions/retry_budget.ts
+++ b/src/common/decisions/retry_budget.ts
@@ -33,7 +33,7 @@
   #lastTry: MonotonicTime | null = null;
 
   /** A request is tried for the first time. */
-  firstTry(now: MonotonicTime): void {
+  recordFirstAttempt(now: MonotonicTime): void {
     const gap = now - (this.#lastTry ?? now);
     const kept = Math.exp(-gap / RATE_MEMORY);
     this.#rate = Math.max(SMALLEST_RATE, this.#rate * kept + 1 / RATE_MEMORY);
--- a/src/common/decisions/routing.ts
+++ b/src/common/decisions/routing.ts
@@ -15,8 +15,8 @@
  * bury one target. What is remembered here may be wrong, as when the engine
  * has dropped the prefix: then it costs time, never correctness.
  */
-import { isLong } from "./work.ts";
-import type { IWork } from "./work.ts";
+import { isLong } from "./work_item.ts";
+import type { IWorkItem } from "./work_item.ts";
 
 /**
  * Targets compared for one request by all daemons together, and by each at
@@ -45,22 +45,22 @@
    * are read one after another and before any new one, so a target with few
    * requests that have all just come is a worse choice than its load says.
    */
-  readonly unread: number;
+  readonly pendingPromptCost: number;
   /** Requests it may have in all, by {@link GroupLimit}. */
   readonly limit: number;
   /** Requests this daemon may send there now. */
-  readonly room: number;
+  readonly freeSlots: number;
   /** Its time between tokens as a multiple of its peers' median. */
   readonly pace: number;
 }
 
 /** Where, for what, and where not. */
-export interface IRoutingChoice {
-  readonly work: IWork;
+export interface IRoutingContext {
+  readonly work: IWorkItem;
   /** Targets that failed this request already. */
   readonly avoid: ReadonlySet<string>;
   /** Targets that this daemon sent the work's prefix to lately. */
-  readonly holders: readonly string[];
+  readonly prefixTargets: readonly string[];
   /** Daemons that send to these targets, this one included. */
   readonly daemons: number;
 }
@@ -68,12 +68,12 @@
 /** The target with the least expected wait; null when there is none. */
 export function chooseCandidate<T extends ICandidate>(
   candidates: readonly T[],
-  choice: IRoutingChoice,
+  choice: IRoutingContext,
   random: () => number,
 ): T | null {
-  const { work, avoid, holders } = choice;
+  const { work, avoid, prefixTargets } = choice;
   const usable = candidates.filter(({ id }) => !avoid.has(id));
-  const roomy = usable.filter(({ room }) => room > 0);
+  const roomy = usable.filter(({ freeSlots }) => freeSlots > 0);
   if (isLong(work)) {
     const packed = chooseForLong(roomy);
     if (packed !== null) {
@@ -84,8 +84,8 @@
   const count = Math.max(LEAST_COMPARED, share);
   const sampled = sample(roomy.length > 0 ? roomy : usable, count, random);
   const best = leastWait(sampled);
-  const holding = roomy.filter(({ id }) => holders.includes(id));
-  const holder = holders.length > 0 ? leastWait(holding) : null;
+  const holding = roomy.filter(({ id }) => prefixTargets.includes(id));
+  const holder = prefixTargets.length > 0 ? leastWait(holding) : null;
   const isNear = holder !== null && isBounded(holder, sampled);
   return isNear ? holder : best;
 }
@@ -120,8 +120,8 @@
 
 /** Expected wait at the target's pace; only its order matters. */
 function waitAt(candidate: ICandidate): number {
-  const { load, unread, pace } = candidate;
-  return (load + 1 + unread) * pace;
+  const { load, pendingPromptCost, pace } = candidate;
+  return (load + 1 + pendingPromptCost) * pace;
 }
 
 /** Up to so many of the candidates, in random order. */
--- a/src/common/decisions/run_time.ts
+++ b/src/common/decisions/run_time_estimator.ts
@@ -3,7 +3,7 @@
  * Without it a deadline could be checked only when it has passed, and target
  * time is spent on answers that nobody waits for any more.
  */
-import type { IWork } from "./work.ts";
+import type { IWorkItem } from "./work_item.ts";
 
 /** Weight of the newest sample. */
 const NEWEST_WEIGHT = 0.02;
@@ -36,7 +36,7 @@
  * The service's own times, as moving averages. While nothing is known yet they
  * are 0: work is let in and the times are learned from it.
  */
-export class RunTime {
+export class RunTimeEstimator {
   #firstToken = 0;
   #tokenGap = 0;
   #answerShare = 1;
@@ -46,21 +46,21 @@
    * Nothing runs: what was learned may be long past. Without this, times
    * learned in an overload refuse all work, and nothing is ever learned again.
    */
-  forget(): void {
+  capWhenIdle(): void {
     this.#firstToken = Math.min(this.#firstToken, FIRST_TOKEN_WHEN_IDLE);
     this.#tokenGap = Math.min(this.#tokenGap, TOKEN_GAP_WHEN_IDLE);
   }
 
-  firstToken(milliseconds: number): void {
+  recordFirstToken(milliseconds: number): void {
     this.#firstToken += (milliseconds - this.#firstToken) * NEWEST_WEIGHT;
   }
 
-  tokenGap(milliseconds: number): void {
+  recordTokenGap(milliseconds: number): void {
     this.#tokenGap += (milliseconds - this.#tokenGap) * NEWEST_WEIGHT;
   }
 
   /** An answer is whole with this many of the tokens asked. */
-  answered(tokens: number, asked: number): void {
+  recordAnswer(tokens: number, asked: number): void {
     const kept = this.#longestAnswer * (1 - FORGOTTEN);
     this.#longestAnswer = Math.max(kept, tokens);
     const share = Math.min(1, tokens / asked);
@@ -68,7 +68,7 @@
   }
 
   /** Milliseconds from being sent to the whole answer, as expected. */
-  expected(work: IWork): number {
+  estimate(work: IWorkItem): number {
     const tokens = Math.min(
       work.askedTokens * this.#answerShare,
       this.#longestAnswer * LONGER_THAN_SEEN,
@@ -77,7 +77,7 @@
   }
 
   /** The same with a margin, for promises. */
-  of(work: IWork): number {
-    return this.expected(work) * (1 + MARGIN);
+  estimateWithMargin(work: IWorkItem): number {
+    return this.estimate(work) * (1 + MARGIN);
   }
 }
--- a/src/common/decisions/service_scheduler.ts
+++ b/src/common/decisions/service_scheduler.ts
@@ -6,12 +6,12 @@
 import type { AccountName, MonotonicTime } from "../types.ts";
 import { Reason } from "../types.ts";
 import { FairQueue } from "./fair_queue.ts";
-import type { IRoom } from "./fair_queue.ts";
-import { RunTime } from "./run_time.ts";
-import { TargetBook } from "./target_book.ts";
-import type { ITargetReports } from "./target_book.ts";
-import { costOf, isLong } from "./work.ts";
-import type { IWork } from "./work.ts";
+import type { IFreeSlots } from "./fair_queue.ts";
+import { RunTimeEstimator } from "./run_time_estimator.ts";
+import { TargetTracker } from "./target_tracker.ts";
+import type { ITargetsUpdate } from "./target_tracker.ts";
+import { costOf, isLong } from "./work_item.ts";
+import type { IWorkItem } from "./work_item.ts";
 
 /**
  * Share of the slots within this daemon's reach that long work may hold. The
@@ -44,10 +44,10 @@
 
 /** One thing to be done. */
 export type ScheduleAction =
-  | { readonly kind: ScheduleActionKind.Start; readonly work: IWork }
+  | { readonly kind: ScheduleActionKind.Start; readonly work: IWorkItem }
   | {
       readonly kind: ScheduleActionKind.Refuse;
-      readonly work: IWork;
+      readonly work: IWorkItem;
       readonly reason: Reason;
       /** When asking again makes sense, milliseconds. */
       readonly retryAfter: number;
@@ -56,34 +56,34 @@
 /** Admission, waiting and routing of one service in one daemon. */
 export class ServiceScheduler {
   readonly #queue = new FairQueue();
-  readonly #runTime = new RunTime();
-  readonly #targets = new TargetBook(this.#runTime);
+  readonly #runTime = new RunTimeEstimator();
+  readonly #targets = new TargetTracker(this.#runTime);
   /** Work started and not finished. */
-  readonly #started = new Set<IWork>();
+  readonly #started = new Set<IWorkItem>();
   /** Work let in although it seemed too late, one an account. */
-  readonly #trials = new Map<AccountName, IWork>();
+  readonly #trials = new Map<AccountName, IWorkItem>();
   #longStarted = 0;
   /** Since when some work has always been waiting. */
   #backlogSince: MonotonicTime | null = null;
 
   /** What is known of the targets; times of tokens are told to it. */
-  get targets(): TargetBook {
+  get targets(): TargetTracker {
     return this.#targets;
   }
 
-  get waiting(): number {
+  get queueSize(): number {
     return this.#queue.size;
   }
 
   /** Milliseconds from sending work to its whole answer, with a margin. */
-  runTime(work: IWork): number {
-    return this.#runTime.of(work);
+  estimateRunTime(work: IWorkItem): number {
+    return this.#runTime.estimateWithMargin(work);
   }
 
   /** Work arrives. It is started, kept waiting (no action) or refused. */
-  offer(work: IWork, now: MonotonicTime): readonly ScheduleAction[] {
+  submit(work: IWorkItem, now: MonotonicTime): readonly ScheduleAction[] {
     if (this.#started.size === 0) {
-      this.#runTime.forget();
+      this.#runTime.capWhenIdle();
     }
     const late = this.#lateness(work, now);
     const isTrial = late > 0 && this.#mayTry(work, now);
@@ -105,13 +105,13 @@
    *
    * @param tokens Tokens of the whole answer; null if there is none.
    */
-  finished(
-    work: IWork,
+  finish(
+    work: IWorkItem,
     tokens: number | null,
     now: MonotonicTime,
   ): readonly ScheduleAction[] {
     if (tokens !== null) {
-      this.#runTime.answered(tokens, work.askedTokens);
+      this.#runTime.recordAnswer(tokens, work.askedTokens);
     }
     this.#endTrial(work);
     if (this.#started.delete(work) && isLong(work)) {
@@ -121,17 +121,17 @@
   }
 
   /** The caller of waiting work is gone. */
-  withdraw(work: IWork): boolean {
+  cancel(work: IWorkItem): boolean {
     this.#endTrial(work);
     return this.#queue.remove(work);
   }
 
   /** The targets in service and their reports. */
-  report(
-    reports: ITargetReports,
+  updateTargets(
+    reports: ITargetsUpdate,
     now: MonotonicTime,
   ): readonly ScheduleAction[] {
-    this.#targets.report(reports, now);
+    this.#targets.update(reports, now);
     return this.advance(now);
   }
 
@@ -139,12 +139,13 @@
   advance(now: MonotonicTime): readonly ScheduleAction[] {
     const actions: ScheduleAction[] = [];
     const expired = this.#queue.removeWhere((work) => {
-      const isLate = now + this.#runTime.of(work) > work.deadline;
+      const isLate =
+        now + this.#runTime.estimateWithMargin(work) > work.deadline;
       return isLate && !this.#isKept(work, now);
     });
     for (const work of expired) {
       this.#endTrial(work);
-      const late = now + this.#runTime.of(work) - work.deadline;
+      const late = now + this.#runTime.estimateWithMargin(work) - work.deadline;
       actions.push(refuse(work, Reason.DeadlinePassed, late));
     }
     for (;;) {
@@ -167,7 +168,7 @@
    * now and then would be refused until the flood ends. One trial an account
    * at a time, so a wrong guess costs one slot for one answer.
    */
-  #mayTry(work: IWork, now: MonotonicTime): boolean {
+  #mayTry(work: IWorkItem, now: MonotonicTime): boolean {
     return !this.#queue.has(work.account) && this.#mayBeTrial(work, now);
   }
 
@@ -176,30 +177,30 @@
    * estimate may have risen since it was let in, and then a trial is due to it
    * as to work that arrives.
    */
-  #isKept(work: IWork, now: MonotonicTime): boolean {
+  #isKept(work: IWorkItem, now: MonotonicTime): boolean {
     if (this.#mayBeTrial(work, now)) {
       this.#trials.set(work.account, work);
     }
     return this.#isTrial(work) && now < work.deadline;
   }
 
-  #mayBeTrial({ account, deadline }: IWork, now: MonotonicTime): boolean {
+  #mayBeTrial({ account, deadline }: IWorkItem, now: MonotonicTime): boolean {
     const isStarted = [...this.#started].some((one) => one.account === account);
     return !this.#trials.has(account) && !isStarted && now < deadline;
   }
 
-  #isTrial(work: IWork): boolean {
+  #isTrial(work: IWorkItem): boolean {
     return this.#trials.get(work.account) === work;
   }
 
-  #endTrial(work: IWork): void {
+  #endTrial(work: IWorkItem): void {
     if (this.#isTrial(work)) {
       this.#trials.delete(work.account);
     }
   }
 
-  #room(): IRoom {
-    const reach = this.#targets.reach;
+  #room(): IFreeSlots {
+    const reach = this.#targets.usableSlots;
     const isFree = this.#started.size < reach;
     const longSlots = Math.max(1, reach * LONG_SLOT_SHARE);
     return {
@@ -209,9 +210,10 @@
   }
 
   /** By how many milliseconds work would wait too long; 0 if it would not. */
-  #lateness(work: IWork, now: MonotonicTime): number {
+  #lateness(work: IWorkItem, now: MonotonicTime): number {
     const wait = this.#wait(work);
-    const late = now + wait + this.#runTime.of(work) - work.deadline;
+    const late =
+      now + wait + this.#runTime.estimateWithMargin(work) - work.deadline;
     const isStanding =
       this.#backlogSince !== null && now - this.#backlogSince > STANDING_AFTER;
     const tooLong = isStanding ? wait - LONGEST_STANDING_WAIT : 0;
@@ -231,15 +233,15 @@
    * over what the slots in reach get done (Little's law). The rate of late
    * would be wrong just when it matters, at the start of a burst.
    */
-  #wait(work: IWork): number {
-    const slots = this.#targets.reach;
-    const rate = (slots * costOf(work)) / this.#runTime.expected(work);
+  #wait(work: IWorkItem): number {
+    const slots = this.#targets.usableSlots;
+    const rate = (slots * costOf(work)) / this.#runTime.estimate(work);
     const ahead = this.#queue.size === 0 ? 0 : this.#queue.costAhead(work);
     return rate > 0 ? ahead / rate : 0;
   }
 }
 
-function refuse(work: IWork, reason: Reason, late: number): ScheduleAction {
+function refuse(work: IWorkItem, reason: Reason, late: number): ScheduleAction {
   const bounded = Math.min(
     LONGEST_RETRY_AFTER,
     Math.max(SHORTEST_RETRY_AFTER, late),
--- a/src/common/decisions/service_scheduler_test.ts
+++ b/src/common/decisions/service_scheduler_test.ts
@@ -1,12 +1,12 @@
 import { expect } from "chai";
 import { Reason } from "../types.ts";
 import { ScheduleActionKind, ServiceScheduler } from "./service_scheduler.ts";
-import type { IWork } from "./work.ts";
+import type { IWorkItem } from "./work_item.ts";
 
 const DEADLINE = 8_000;
 const TOKENS = 40;
 
-function workOf(account: string, index: number, now: number): IWork {
+function workOf(account: string, index: number, now: number): IWorkItem {
   return {
     id: `${account}-${index}`,
     account,
@@ -24,12 +24,12 @@
 function flooded(): { scheduler: ServiceScheduler; now: number } {
   const scheduler = new ServiceScheduler();
   const targets = [{ id: "only", reported: 0, describes: 0 }];
-  scheduler.report({ targets, daemons: 1 }, 0);
+  scheduler.updateTargets({ targets, daemons: 1 }, 0);
   let now = 0;
   for (let index = 0; index < 400; index += 1) {
     now += 10;
     const work = workOf("flood", index, now);
-    const actions = scheduler.offer(work, now);
+    const actions = scheduler.submit(work, now);
     const isRefused = actions.some(
       ({ kind, work: one }) =>
         kind === ScheduleActionKind.Refuse && one === work,
@@ -37,12 +37,12 @@
     if (isRefused) {
       return { scheduler, now };
     }
-    const use = scheduler.targets.begin("only", work, now);
-    scheduler.targets.tokens(use, 1, now + 6_000);
-    scheduler.targets.tokens(use, 1, now + 7_000);
+    const use = scheduler.targets.startRequest("only", work, now);
+    scheduler.targets.recordTokens(use, 1, now + 6_000);
+    scheduler.targets.recordTokens(use, 1, now + 7_000);
     // The first one goes on running: a service with nothing to do forgets.
     if (index > 0) {
-      scheduler.finished(work, TOKENS, now);
+      scheduler.finish(work, TOKENS, now);
     }
   }
   throw new Error("the flood was never refused");
@@ -56,16 +56,16 @@
     const { scheduler, now } = flooded();
     const quiet = workOf("quiet", 0, now);
     const refusals = scheduler
-      .offer(quiet, now)
+      .submit(quiet, now)
       .filter(({ kind }) => kind === ScheduleActionKind.Refuse);
     expect(refusals.map(({ work }) => work.id)).to.not.include("quiet-0");
   });
 
   it("tries one at a time of each account", () => {
     const { scheduler, now } = flooded();
-    scheduler.offer(workOf("quiet", 0, now), now);
+    scheduler.submit(workOf("quiet", 0, now), now);
     const second = workOf("quiet", 1, now);
-    const [refusal] = scheduler.offer(second, now);
+    const [refusal] = scheduler.submit(second, now);
     expect(refusal).to.include({
       kind: ScheduleActionKind.Refuse,
       work: second,
@@ -78,27 +78,27 @@
   it("keeps waiting work of an account that is not part of the load", () => {
     const scheduler = new ServiceScheduler();
     const targets = [{ id: "only", reported: 0, describes: 0 }];
-    scheduler.report({ targets, daemons: 1 }, 0);
+    scheduler.updateTargets({ targets, daemons: 1 }, 0);
     const started = Array.from({ length: 100 }, (_, index) =>
       workOf("flood", index, 0),
     )
-      .flatMap((work) => scheduler.offer(work, 0))
+      .flatMap((work) => scheduler.submit(work, 0))
       .map(({ work }) => ({
         work,
-        use: scheduler.targets.begin("only", work, 0),
+        use: scheduler.targets.startRequest("only", work, 0),
       }));
     const [first, second] = started;
     if (first === undefined || second === undefined) {
       throw new Error("no two calls were started");
     }
     const quiet = workOf("quiet", 0, 100);
-    expect(scheduler.offer(quiet, 100)).to.deep.equal([]);
+    expect(scheduler.submit(quiet, 100)).to.deep.equal([]);
     for (let round = 0; round < 40; round += 1) {
       for (const { use } of started) {
-        scheduler.targets.tokens(use, 1, 1_000 + round * 500);
+        scheduler.targets.recordTokens(use, 1, 1_000 + round * 500);
       }
     }
-    const actions = scheduler.finished(first.work, TOKENS, 2_000);
+    const actions = scheduler.finish(first.work, TOKENS, 2_000);
     const refused = actions
       .filter(({ kind }) => kind === ScheduleActionKind.Refuse)
       .map(({ work }) => work.account);
@@ -106,7 +106,7 @@
     expect(refused).to.not.include("quiet");
     const begun = [
       ...actions,
-      ...scheduler.finished(second.work, TOKENS, 2_500),
+      ...scheduler.finish(second.work, TOKENS, 2_500),
     ].filter(({ kind }) => kind === ScheduleActionKind.Start);
     expect(begun.map(({ work }) => work.account)).to.include("quiet");
   });
--- a/src/common/decisions/spill.ts
+++ b/src/common/decisions/spill.ts
@@ -5,7 +5,7 @@
  * they would fill it before the next summary says so; so the zone is drawn at
  * random, weighted by the room that each says it has.
  */
-import type { IZoneSummary } from "../membership/zone_links.ts";
+import type { IZoneSummary } from "../membership/zone_directory.ts";
 import type { ISpillTarget } from "../services/forwarding.ts";
 import type { ServiceName } from "../types.ts";
 
--- a/src/common/decisions/spill_test.ts
+++ b/src/common/decisions/spill_test.ts
@@ -2,7 +2,7 @@
 import { expect } from "chai";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
-import type { IZoneSummary } from "../membership/zone_links.ts";
+import type { IZoneSummary } from "../membership/zone_directory.ts";
 import { chooseSpillTargets } from "./spill.ts";
 
 const SERVICE = "summarizer";
--- a/src/common/decisions/target_load.ts
+++ b/src/common/decisions/target_load.ts
@@ -23,7 +23,7 @@
   #others = 0;
 
   /** Requests this daemon has sent and not seen finished. */
-  get own(): number {
+  get ownInFlight(): number {
     return this.#own;
   }
 
@@ -33,12 +33,12 @@
   }
 
   /** Counts a request sent. */
-  begin(now: MonotonicTime): void {
+  recordSent(now: MonotonicTime): void {
     this.#change(now, 1);
   }
 
   /** Counts a request finished. */
-  end(now: MonotonicTime): void {
+  recordFinished(now: MonotonicTime): void {
     this.#change(now, -1);
   }
 
@@ -48,7 +48,7 @@
    * @param reported Requests running and queued at the target.
    * @param describes The moment, on this daemon's clock, it describes.
    */
-  report(reported: number, describes: MonotonicTime): void {
+  update(reported: number, describes: MonotonicTime): void {
     let ownThen = this.#own;
     for (let index = this.#changes.length - 1; index >= 0; index--) {
       const change = this.#changes[index];
