--- a/src/common/decisions/target_book.ts
+++ b/src/common/decisions/target_tracker.ts
@@ -7,15 +7,15 @@
   FIRST_TOKEN_BOUND,
   firstTokenBound,
   tokenGapBound,
-} from "./group_limit.ts";
-import { KnownTarget } from "./known_target.ts";
-import { PrefixMemory } from "./prefix_memory.ts";
+} from "./adaptive_limit.ts";
+import { TrackedTarget } from "./tracked_target.ts";
+import { PrefixAffinity } from "./prefix_affinity.ts";
 import { chooseCandidate } from "./routing.ts";
-import type { RunTime } from "./run_time.ts";
-import { SlowTargets } from "./slow_target.ts";
-import type { ISentRequest, Standing } from "./slow_target.ts";
-import { PROMPT_TOKEN_COST } from "./work.ts";
-import type { IWork } from "./work.ts";
+import type { RunTimeEstimator } from "./run_time_estimator.ts";
+import { OutlierDetector } from "./outlier_detector.ts";
+import type { ISentRequest, TargetHealth } from "./outlier_detector.ts";
+import { PROMPT_TOKEN_COST } from "./work_item.ts";
+import type { IWorkItem } from "./work_item.ts";
 
 /** How often targets are compared with one another, milliseconds. */
 const COMPARE_EVERY = 500;
@@ -24,7 +24,7 @@
 const PREFIX_SHARE = 0.5;
 
 /** A target as its last report shows it. */
-export interface ITargetState {
+export interface ITargetLoadReport {
   readonly id: string;
   /** Requests running and queued there. */
   readonly reported: number;
@@ -33,15 +33,15 @@
 }
 
 /** What is known of a service's targets at one moment. */
-export interface ITargetReports {
+export interface ITargetsUpdate {
   /** Those that can serve now. */
-  readonly targets: readonly ITargetState[];
+  readonly targets: readonly ITargetLoadReport[];
   /** Daemons that send to them, this one included. */
   readonly daemons: number;
 }
 
 /** One request at one target. */
-export interface ITargetUse extends ISentRequest {
+export interface ITrackedRequest extends ISentRequest {
   /** Cost of reading the prompt, in generated tokens. */
   readonly promptCost: number;
   /** Milliseconds the first token may take. */
@@ -56,48 +56,48 @@
 }
 
 /** A request to find a target for. */
-export interface ITargetChoice {
-  readonly work: IWork;
+export interface IRoutingRequest {
+  readonly work: IWorkItem;
   /** Targets that failed this request already. */
   readonly avoid: ReadonlySet<string>;
 }
 
 /** The targets of one service. */
-export class TargetBook {
-  readonly #runTime: RunTime;
-  readonly #known = new Map<string, KnownTarget>();
-  readonly #slow = new SlowTargets();
-  readonly #prefixes = new PrefixMemory();
+export class TargetTracker {
+  readonly #runTime: RunTimeEstimator;
+  readonly #known = new Map<string, TrackedTarget>();
+  readonly #slow = new OutlierDetector();
+  readonly #prefixes = new PrefixAffinity();
   /** Requests without a first token, in the order they were sent. */
-  readonly #unanswered = new Set<ITargetUse>();
-  #present: readonly KnownTarget[] = [];
+  readonly #unanswered = new Set<ITrackedRequest>();
+  #present: readonly TrackedTarget[] = [];
   #daemons = 1;
   #comparedAt: MonotonicTime = 0;
 
-  constructor(runTime: RunTime) {
+  constructor(runTime: RunTimeEstimator) {
     this.#runTime = runTime;
   }
 
   /** Requests this daemon may have in flight, with what others have there. */
-  get reach(): number {
+  get usableSlots(): number {
     let reach = 0;
-    for (const { own, room } of this.#present) {
-      reach += own + Math.max(0, room);
+    for (const { ownInFlight, freeSlots } of this.#present) {
+      reach += ownInFlight + Math.max(0, freeSlots);
     }
     return reach;
   }
 
-  standing(target: string): Standing {
-    return this.#slow.standing(target);
+  healthOf(target: string): TargetHealth {
+    return this.#slow.healthOf(target);
   }
 
   /** Takes in the targets that can serve now, with their reports. */
-  report(reports: ITargetReports, now: MonotonicTime): void {
+  update(reports: ITargetsUpdate, now: MonotonicTime): void {
     const { targets, daemons } = reports;
     this.#daemons = daemons;
     this.#present = targets.map(({ id }) => this.#knownOf(id));
     for (const { id, reported, describes } of targets) {
-      this.#knownOf(id).report(reported, describes, daemons);
+      this.#knownOf(id).update(reported, describes, daemons);
     }
     this.#noteOverdue(now);
     if (now - this.#comparedAt >= COMPARE_EVERY) {
@@ -111,27 +111,31 @@
   }
 
   /** Where a request goes; null when no target is left to try. */
-  choose(choice: ITargetChoice, random: () => number): string | null {
+  choose(choice: IRoutingRequest, random: () => number): string | null {
     const { work, avoid } = choice;
-    const holders = this.#prefixes.holders(work.prefix);
+    const holders = this.#prefixes.targetsOf(work.prefix);
     const chosen = chooseCandidate(
       this.#present,
-      { work, avoid, holders, daemons: this.#daemons },
+      { work, avoid, prefixTargets: holders, daemons: this.#daemons },
       random,
     );
     if (chosen === null) {
       return null;
     }
-    this.#prefixes.note(work.prefix, chosen.id);
+    this.#prefixes.recordSent(work.prefix, chosen.id);
     return chosen.id;
   }
 
   /** A request is sent to a target. */
-  begin(target: string, work: IWork, now: MonotonicTime): ITargetUse {
+  startRequest(
+    target: string,
+    work: IWorkItem,
+    now: MonotonicTime,
+  ): ITrackedRequest {
     const cost = work.promptTokens * PROMPT_TOKEN_COST;
-    const holders = this.#prefixes.holders(work.prefix);
+    const holders = this.#prefixes.targetsOf(work.prefix);
     const isHeld = holders.includes(target);
-    const use: ITargetUse = {
+    const use: ITrackedRequest = {
       target,
       sentAt: now,
       promptCost: isHeld ? cost * (1 - PREFIX_SHARE) : cost,
@@ -141,29 +145,29 @@
       lastTokenAt: null,
       isEnded: false,
     };
-    this.#knownOf(target).begin(use.promptCost, now);
-    this.#slow.sent(use);
+    this.#knownOf(target).startRequest(use.promptCost, now);
+    this.#slow.recordSent(use);
     this.#unanswered.add(use);
     return use;
   }
 
   /** Tokens came for a request. */
-  tokens(use: ITargetUse, count: number, now: MonotonicTime): void {
-    const { limits } = this.#knownOf(use.target);
+  recordTokens(use: ITrackedRequest, count: number, now: MonotonicTime): void {
+    const { adaptiveLimit } = this.#knownOf(use.target);
     if (use.lastTokenAt === null) {
       const time = now - use.sentAt;
       this.#answered(use);
-      this.#slow.firstToken(use.target, time, now);
-      this.#runTime.firstToken(time);
+      this.#slow.recordFirstToken(use.target, time, now);
+      this.#runTime.recordFirstToken(time);
       if (!use.isOverdue) {
         const isLate = time > use.firstTokenBound;
-        limits.firstToken(isLate, use.sentAt, now);
+        adaptiveLimit.recordFirstToken(isLate, use.sentAt, now);
       }
     } else {
       const gap = (now - use.lastTokenAt) / count;
-      this.#slow.tokenGap(use.target, gap, now);
-      this.#runTime.tokenGap(gap);
-      limits.tokenGap(gap > use.tokenGapBound, now);
+      this.#slow.recordTokenGap(use.target, gap, now);
+      this.#runTime.recordTokenGap(gap);
+      adaptiveLimit.recordTokenGap(gap > use.tokenGapBound, now);
     }
     use.lastTokenAt = now;
   }
@@ -172,27 +176,27 @@
    * The caller has taken what came and more is read from now on: the time it
    * took is its own, not the target's.
    */
-  resumed(use: ITargetUse, now: MonotonicTime): void {
+  resumeRequest(use: ITrackedRequest, now: MonotonicTime): void {
     if (use.lastTokenAt !== null) {
       use.lastTokenAt = now;
     }
   }
 
   /** A request has ended at its target. */
-  end(use: ITargetUse, now: MonotonicTime): void {
+  endRequest(use: ITrackedRequest, now: MonotonicTime): void {
     if (use.isEnded) {
       return;
     }
     use.isEnded = true;
-    this.#knownOf(use.target).end(now);
+    this.#knownOf(use.target).endRequest(now);
     if (use.lastTokenAt === null) {
       this.#answered(use);
     }
   }
 
-  #answered(use: ITargetUse): void {
-    this.#knownOf(use.target).read(use.promptCost);
-    this.#slow.answered(use);
+  #answered(use: ITrackedRequest): void {
+    this.#knownOf(use.target).finishPrompt(use.promptCost);
+    this.#slow.clearUnanswered(use);
     this.#unanswered.delete(use);
   }
 
@@ -208,16 +212,16 @@
       }
       if (!use.isOverdue && age > use.firstTokenBound) {
         use.isOverdue = true;
-        const { limits } = this.#knownOf(use.target);
-        limits.firstToken(true, use.sentAt, now);
+        const { adaptiveLimit } = this.#knownOf(use.target);
+        adaptiveLimit.recordFirstToken(true, use.sentAt, now);
       }
     }
   }
 
-  #knownOf(target: string): KnownTarget {
+  #knownOf(target: string): TrackedTarget {
     let known = this.#known.get(target);
     if (known === undefined) {
-      known = new KnownTarget(target, this.#slow);
+      known = new TrackedTarget(target, this.#slow);
       this.#known.set(target, known);
     }
     return known;
@@ -227,7 +231,7 @@
   #forgetIdle(): void {
     const present = new Set(this.#present);
     for (const [id, known] of this.#known) {
-      if (!present.has(known) && known.own === 0) {
+      if (!present.has(known) && known.ownInFlight === 0) {
         this.#known.delete(id);
       }
     }
@@ -238,7 +242,7 @@
  * Milliseconds until the first token is late. How long a plain call takes is
  * the service's own affair: it may take half of what it has.
  */
-function boundOf(work: IWork, now: MonotonicTime): number {
+function boundOf(work: IWorkItem, now: MonotonicTime): number {
   return work.isCall
     ? (work.deadline - now) / 2
     : firstTokenBound(work.promptTokens);
--- a/src/common/decisions/work.ts
+++ b/src/common/decisions/work_item.ts
@@ -11,7 +11,7 @@
 export const LONG_WORK_TOKENS = 256;
 
 /** What is asked, before it is sent anywhere. */
-export interface IWork {
+export interface IWorkItem {
   readonly id: RequestId;
   readonly account: AccountName;
   /** Higher goes first; 0 to 9. */
@@ -29,11 +29,11 @@
 }
 
 /** Estimated cost of work in generated tokens. */
-export function costOf(work: IWork): number {
+export function costOf(work: IWorkItem): number {
   return work.askedTokens + work.promptTokens * PROMPT_TOKEN_COST;
 }
 
 /** Whether work holds its slot for long. */
-export function isLong(work: IWork): boolean {
+export function isLong(work: IWorkItem): boolean {
   return work.askedTokens >= LONG_WORK_TOKENS;
 }
--- a/src/common/groups/domain_lease.ts
+++ b/src/common/groups/domain_lease.ts
@@ -64,7 +64,7 @@
   }
 
   /** The newest record seen; null before the first read. */
-  get seen(): IVersionedRecord | null {
+  get lastSeen(): IVersionedRecord | null {
     return this.#seen;
   }
 
@@ -101,7 +101,7 @@
   }
 
   /** A read or a watch brought the record; null when there is none. */
-  observed(
+  observe(
     seen: IVersionedRecord | null,
     now: MonotonicTime,
   ): readonly LeaseAction[] {
@@ -125,7 +125,7 @@
     if (pending?.isAttempt(seen.record.attempt)) {
       this.#extend(pending.sentAt);
     } else if (seen.record.holder !== this.#daemon) {
-      this.#send(LeaseEvent.LeftBehind);
+      this.#send(LeaseEvent.HolderChanged);
     }
     return this.#changed(before);
   }
@@ -135,12 +135,12 @@
    * lease need not be waited out. Silence or a refused connection is no such
    * proof, since a cut looks the same.
    */
-  holderEnded(holder: DaemonId): void {
+  handleHolderEnded(holder: DaemonId): void {
     this.#endedHolder = holder;
   }
 
   /** The holder changes the groups; refused unless the lease covers it. */
-  change(
+  changeGroups(
     groups: Pick<IDomainRecord, "groups" | "nextGroup">,
     now: MonotonicTime,
   ): readonly LeaseAction[] {
@@ -152,20 +152,23 @@
   }
 
   /** Gives the lease back, so that another daemon need not wait. */
-  giveBack(now: MonotonicTime): readonly LeaseAction[] {
+  release(now: MonotonicTime): readonly LeaseAction[] {
     if (this.state === LeaseState.Observing || !this.#seen) {
       return [];
     }
     const before = this.state;
     const record = { ...this.#seen.record, holder: null };
     const actions = this.#write({ record, isChange: true }, now);
-    this.#send(LeaseEvent.LeftBehind);
+    this.#send(LeaseEvent.HolderChanged);
     this.#pending = null;
     return [...this.#changed(before), ...actions];
   }
 
   /** The write of this attempt took effect as this version. */
-  writeTook(attempt: string, version: number): readonly LeaseAction[] {
+  handleWriteSucceeded(
+    attempt: string,
+    version: number,
+  ): readonly LeaseAction[] {
     const pending = this.#pending;
     if (!pending?.isAttempt(attempt)) {
       return [];
@@ -179,25 +182,25 @@
   }
 
   /** The write had no effect, since the record had moved on. */
-  writeConflicted(attempt: string): readonly LeaseAction[] {
+  handleWriteConflict(attempt: string): readonly LeaseAction[] {
     if (this.#pending?.isAttempt(attempt)) {
-      this.#pending.conflicted();
+      this.#pending.markConflicted();
     }
     return [{ kind: LeaseActionKind.Read }];
   }
 
   /** This sending of the write certainly did not take effect. */
-  writeFailed(attempt: string): readonly LeaseAction[] {
-    if (this.#pending?.isAttempt(attempt) && !this.#pending.failed()) {
+  handleWriteFailed(attempt: string): readonly LeaseAction[] {
+    if (this.#pending?.isAttempt(attempt) && !this.#pending.handleFailure()) {
       this.#pending = null;
     }
     return [];
   }
 
   /** The answer was lost: only reading back tells whether it took effect. */
-  writeUnknown(attempt: string): readonly LeaseAction[] {
+  handleWriteUnknown(attempt: string): readonly LeaseAction[] {
     if (this.#pending?.isAttempt(attempt)) {
-      this.#pending.lost();
+      this.#pending.markInDoubt();
     }
     return [{ kind: LeaseActionKind.Read }];
   }
@@ -210,7 +213,7 @@
   #extend(sentAt: MonotonicTime): void {
     this.#heldUntil = sentAt + this.#timing.leaseTime;
     this.#renewAt = sentAt + this.#timing.renewEvery;
-    this.#send(LeaseEvent.WriteTook);
+    this.#send(LeaseEvent.WriteSucceeded);
   }
 
   #writeIfDue(now: MonotonicTime): readonly LeaseAction[] {
@@ -218,7 +221,7 @@
       return this.#settle(this.#pending, now);
     }
     if (this.#isLongAbsent(now)) {
-      this.#send(LeaseEvent.LeftBehind);
+      this.#send(LeaseEvent.HolderChanged);
     }
     if (this.state !== LeaseState.Observing && this.#seen) {
       const { record } = this.#seen;
@@ -233,7 +236,7 @@
       return [];
     }
     if (pending.state === WriteState.InDoubt) {
-      pending.sentAgain();
+      pending.markResent();
       return [writeAction(pending.content)];
     }
     if (this.#isLongAbsent(now)) {
--- a/src/common/groups/domain_lease_test.ts
+++ b/src/common/groups/domain_lease_test.ts
@@ -122,12 +122,12 @@
         return;
       case Fault.Change:
         if (isRunning) {
-          this.#perform(holder, holder.lease.change(this.#groups(), now));
+          this.#perform(holder, holder.lease.changeGroups(this.#groups(), now));
         }
         return;
       case Fault.GiveBack:
         if (isRunning) {
-          this.#perform(holder, holder.lease.giveBack(now));
+          this.#perform(holder, holder.lease.release(now));
         }
         return;
       default:
@@ -172,7 +172,7 @@
     this.#deliver(holder, delay, () => {
       holder.isReading = false;
       const now = this.#now + holder.offset;
-      this.#perform(holder, holder.lease.observed(found, now));
+      this.#perform(holder, holder.lease.observe(found, now));
     });
   }
 
@@ -180,7 +180,7 @@
     const { lease } = holder;
     const { attempt } = record;
     if (holder.take(Fault.NotApplied) > 0) {
-      this.#deliver(holder, 5, () => lease.writeFailed(attempt));
+      this.#deliver(holder, 5, () => lease.handleWriteFailed(attempt));
       return;
     }
     const landing = 5 + holder.take(Fault.DelayWrite);
@@ -189,7 +189,7 @@
     const isTimeout = isLost || landing + answer > TIMING.renewEvery;
     if (isTimeout) {
       this.#deliver(holder, TIMING.renewEvery, () =>
-        this.#perform(holder, lease.writeUnknown(attempt)),
+        this.#perform(holder, lease.handleWriteUnknown(attempt)),
       );
     }
     this.#schedule(this.#now + landing, () => {
@@ -198,8 +198,8 @@
         this.#deliver(holder, answer, () => {
           const actions =
             version === null
-              ? lease.writeConflicted(attempt)
-              : lease.writeTook(attempt, version);
+              ? lease.handleWriteConflict(attempt)
+              : lease.handleWriteSucceeded(attempt, version);
           this.#perform(holder, actions);
         });
       }
@@ -267,7 +267,7 @@
     if (ordering.length > 1) {
       throw new Error(`${ordering.length} holders may order at ${this.#now}`);
     }
-    const seen = ordering[0]?.lease.seen?.record;
+    const seen = ordering[0]?.lease.lastSeen?.record;
     const truth = this.current?.record;
     const isAside =
       seen !== undefined &&
@@ -307,7 +307,7 @@
         const world = new World();
         world.play(schedule);
         world.calm();
-        const { epoch, nextGroup } = onlyHolder(world).seen?.record ?? {};
+        const { epoch, nextGroup } = onlyHolder(world).lastSeen?.record ?? {};
         expect(world.current?.record).to.include({ epoch, nextGroup });
       }),
       { seed: SEED, numRuns: RUNS, endOnFailure: true },
@@ -320,10 +320,10 @@
     const world = new World();
     world.play([]);
     world.calm();
-    const before = onlyHolder(world).seen?.record.epoch ?? 0;
+    const before = onlyHolder(world).lastSeen?.record.epoch ?? 0;
     world.remove();
     world.calm();
-    const after = onlyHolder(world).seen?.record.epoch;
+    const after = onlyHolder(world).lastSeen?.record.epoch;
     expect(after).to.be.greaterThan(before);
   });
 });
@@ -340,7 +340,7 @@
 
   function observer(): DomainLease {
     const lease = new DomainLease("new", "domain", TIMING);
-    lease.observed({ version: 7, record }, 0);
+    lease.observe({ version: 7, record }, 0);
     return lease;
   }
 
@@ -354,7 +354,7 @@
   it("is taken over at once", () => {
     const lease = observer();
     expect(writes(lease.tick(100))).to.deep.equal([]);
-    lease.holderEnded("old");
+    lease.handleHolderEnded("old");
     const [write] = writes(lease.tick(200));
     expect(write).to.deep.include({ expectedVersion: 7 });
     expect(write).to.have.nested.property("record.epoch", 5);
@@ -364,8 +364,8 @@
   it("is left to a holder that followed", () => {
     const lease = observer();
     const next = { ...record, epoch: 5, holder: "next", attempt: "next/1" };
-    lease.observed({ version: 8, record: next }, 50);
-    lease.holderEnded("old");
+    lease.observe({ version: 8, record: next }, 50);
+    lease.handleHolderEnded("old");
     expect(writes(lease.tick(100))).to.deep.equal([]);
   });
 });
--- a/src/common/groups/formation.ts
+++ b/src/common/groups/formation.ts
@@ -18,7 +18,7 @@
   ServiceName,
 } from "../types.ts";
 import { TargetState } from "../types.ts";
-import type { MemberWatch } from "./member_watch.ts";
+import type { MemberMonitor } from "./member_monitor.ts";
 import type { IDomainRecord, IReplicaGroup } from "./types.ts";
 
 /** How many groups of which service a domain should have. */
@@ -32,7 +32,7 @@
 export interface IFormationView {
   readonly instances: readonly IInstance[];
   readonly reports: ReadonlyMap<InstanceId, ISeenReport>;
-  readonly watch: MemberWatch;
+  readonly monitor: MemberMonitor;
   /** When an order to each instance was last answered or given up. */
   readonly orderedAt: ReadonlyMap<InstanceId, MonotonicTime>;
   readonly now: MonotonicTime;
@@ -53,16 +53,16 @@
 export type GroupChange = Pick<IDomainRecord, "groups" | "nextGroup">;
 
 /** The next groups of a record, or null when nothing is to change. */
-export function planGroups(
+export function planGroupChange(
   record: IDomainRecord,
   wanted: readonly IWantedGroups[],
   view: IFormationView,
   policy: IFormationPolicy,
 ): GroupChange | null {
   const planner = new GroupPlanner(record, view, policy);
-  planner.dropUnwanted(wanted);
+  planner.removeUnserved(wanted);
   planner.heal();
-  planner.consolidate();
+  planner.mergeIncomplete();
   planner.formMissing(wanted);
   return planner.result();
 }
@@ -95,7 +95,7 @@
    * wanted count stays: the count follows the platform's lagging list, and a
    * short list must not break up complete groups.
    */
-  dropUnwanted(wanted: readonly IWantedGroups[]): void {
+  removeUnserved(wanted: readonly IWantedGroups[]): void {
     const services = new Set(wanted.map((entry) => entry.service));
     const kept = this.#groups.filter((group) => services.has(group.service));
     this.#isChanged ||= kept.length < this.#groups.length;
@@ -112,7 +112,7 @@
   }
 
   /** Gives up the worst incomplete group while that heals another. */
-  consolidate(): void {
+  mergeIncomplete(): void {
     const incomplete = this.#incomplete();
     const service = incomplete[0]?.service;
     const worst = incomplete.findLast((group) => group.service === service);
@@ -127,7 +127,7 @@
     this.#groups = this.#groups.filter((group) => group !== worst);
     this.#free.push(...released);
     this.heal();
-    this.consolidate();
+    this.mergeIncomplete();
   }
 
   /** Forms groups from free instances until the wanted counts are met. */
@@ -211,12 +211,12 @@
 
   /** Members that are gone, or were restarted since the group was formed. */
   #lost(group: IReplicaGroup): readonly InstanceId[] {
-    const { watch, now } = this.#view;
+    const { monitor, now } = this.#view;
     return group.members.filter((member, rank) => {
       const known = this.#view.reports.get(member)?.report.incarnation;
       const isRestarted =
         known !== undefined && known !== group.incarnations[rank];
-      return isRestarted || watch.isLost(member, now);
+      return isRestarted || monitor.isLost(member, now);
     });
   }
 
@@ -235,14 +235,14 @@
 
   /** Answered of late, not leaving, and not held out for flapping. */
   #isFit(id: InstanceId): boolean {
-    const { reports, watch, now } = this.#view;
+    const { reports, monitor, now } = this.#view;
     const seen = reports.get(id);
     return (
       seen !== undefined &&
       now - seen.seenAt <= this.#policy.freshness &&
       seen.report.state !== TargetState.Leaving &&
-      !watch.isLost(id, now) &&
-      !watch.isHeld(id, now)
+      !monitor.isLost(id, now) &&
+      !monitor.isHeldOut(id, now)
     );
   }
 
--- a/src/common/groups/formation_test.ts
+++ b/src/common/groups/formation_test.ts
@@ -4,9 +4,9 @@
 import { OrderKind } from "../services/services.ts";
 import { InstanceState, ServiceKind, TargetState } from "../types.ts";
 import type { IInstance, InstanceId, ISeenReport } from "../types.ts";
-import { planGroups } from "./formation.ts";
+import { planGroupChange } from "./formation.ts";
 import type { IFormationPolicy, IFormationView } from "./formation.ts";
-import { MemberWatch } from "./member_watch.ts";
+import { MemberMonitor } from "./member_monitor.ts";
 import { planOrders } from "./orders.ts";
 import type { IDomainRecord } from "./types.ts";
 
@@ -35,7 +35,7 @@
 
 /** Engines of one domain whose silence and restarts a test decides. */
 class Domain {
-  readonly watch = new MemberWatch(WATCH);
+  readonly watch = new MemberMonitor(WATCH);
   readonly reports = new Map<InstanceId, ISeenReport>();
   readonly silent = new Set<InstanceId>();
   readonly restarts = new Map<InstanceId, number>();
@@ -57,7 +57,7 @@
 
   get view(): IFormationView {
     const { instances, reports, watch, now } = this;
-    return { instances, reports, watch, now, orderedAt: new Map() };
+    return { instances, reports, monitor: watch, now, orderedAt: new Map() };
   }
 
   get memberships() {
@@ -72,8 +72,8 @@
     for (let second = 0; second < seconds; second++) {
       this.now += 1_000;
       this.#report();
-      this.watch.look(this.instances, this.reports, this.now);
-      const next = planGroups(this.record, WANTED, this.view, POLICY);
+      this.watch.update(this.instances, this.reports, this.now);
+      const next = planGroupChange(this.record, WANTED, this.view, POLICY);
       this.record = { ...this.record, ...next };
       this.#check();
     }
@@ -147,11 +147,13 @@
     const others = new Map([...reports].slice(1));
     for (const [watch, known] of [
       [domain.watch, reports],
-      [new MemberWatch(WATCH), others],
+      [new MemberMonitor(WATCH), others],
     ] as const) {
-      watch.look(domain.instances, known, domain.now);
+      watch.update(domain.instances, known, domain.now);
       const view = { ...domain.view, watch, reports: known };
-      expect(planGroups(domain.record, WANTED, view, POLICY)).to.equal(null);
+      expect(planGroupChange(domain.record, WANTED, view, POLICY)).to.equal(
+        null,
+      );
     }
   });
 
--- a/src/common/groups/lease_machine.ts
+++ b/src/common/groups/lease_machine.ts
@@ -13,8 +13,8 @@
 
 /** What moves a lease from one state to another. */
 export enum LeaseEvent {
-  WriteTook = "write_took",
-  LeftBehind = "left_behind",
+  WriteSucceeded = "write_took",
+  HolderChanged = "left_behind",
   Paused = "paused",
   Lapsed = "lapsed",
 }
@@ -25,19 +25,19 @@
   initial: LeaseState.Observing,
   states: {
     [LeaseState.Observing]: {
-      on: { [LeaseEvent.WriteTook]: LeaseState.Holding },
+      on: { [LeaseEvent.WriteSucceeded]: LeaseState.Holding },
     },
     [LeaseState.Holding]: {
       on: {
-        [LeaseEvent.LeftBehind]: LeaseState.Observing,
+        [LeaseEvent.HolderChanged]: LeaseState.Observing,
         [LeaseEvent.Paused]: LeaseState.Suspended,
         [LeaseEvent.Lapsed]: LeaseState.Suspended,
       },
     },
     [LeaseState.Suspended]: {
       on: {
-        [LeaseEvent.WriteTook]: LeaseState.Holding,
-        [LeaseEvent.LeftBehind]: LeaseState.Observing,
+        [LeaseEvent.WriteSucceeded]: LeaseState.Holding,
+        [LeaseEvent.HolderChanged]: LeaseState.Observing,
       },
     },
   },
--- a/src/common/groups/member_watch.ts
+++ b/src/common/groups/member_monitor.ts
@@ -21,7 +21,7 @@
 import { InstanceState, TargetState } from "../types.ts";
 
 /** Bounds on silence and on members that come and go, milliseconds. */
-export interface IWatchPolicy {
+export interface IMemberMonitorPolicy {
   /** A longer gap between two looks begins the watch anew. */
   readonly pauseBound: number;
   /** How long a member may be silent before it counts as lost. */
@@ -34,27 +34,27 @@
   readonly forgetHalf: number;
 }
 
-interface ILosses {
+interface ILossHistory {
   readonly count: number;
   readonly at: MonotonicTime;
 }
 
 /** One daemon's watch over the instances of one domain. */
-export class MemberWatch {
-  readonly #policy: IWatchPolicy;
-  readonly #losses = new Map<InstanceId, ILosses>();
+export class MemberMonitor {
+  readonly #policy: IMemberMonitorPolicy;
+  readonly #losses = new Map<InstanceId, ILossHistory>();
   readonly #present = new Map<InstanceId, string>();
   readonly #pauses: PauseWatch;
   #reports: ReadonlyMap<InstanceId, ISeenReport> = new Map();
   #instances: ReadonlyMap<InstanceId, IInstance> = new Map();
 
-  constructor(policy: IWatchPolicy) {
+  constructor(policy: IMemberMonitorPolicy) {
     this.#policy = policy;
     this.#pauses = new PauseWatch(policy.pauseBound);
   }
 
   /** Takes in what is known now; called at every tick. */
-  look(
+  update(
     instances: readonly IInstance[],
     reports: ReadonlyMap<InstanceId, ISeenReport>,
     now: MonotonicTime,
@@ -84,12 +84,12 @@
   }
 
   /** Whether a past loss still keeps the instance out of new groups. */
-  isHeld(id: InstanceId, now: MonotonicTime): boolean {
-    return now < this.heldUntil(id);
+  isHeldOut(id: InstanceId, now: MonotonicTime): boolean {
+    return now < this.heldOutUntil(id);
   }
 
   /** When the instance may be taken into a group again. */
-  heldUntil(id: InstanceId): MonotonicTime {
+  heldOutUntil(id: InstanceId): MonotonicTime {
     const losses = this.#losses.get(id);
     if (losses === undefined) {
       return Number.NEGATIVE_INFINITY;
--- a/src/common/groups/orders.ts
+++ b/src/common/groups/orders.ts
@@ -26,7 +26,10 @@
  * Whether engines report a group or generation that the record does not know
  * yet. A daemon that reads the record seldom learns of a change by this.
  */
-export function isBehind(record: IDomainRecord, view: IFormationView): boolean {
+export function isRecordStale(
+  record: IDomainRecord,
+  view: IFormationView,
+): boolean {
   const generations = new Map(
     record.groups.map((group) => [group.id, group.generation]),
   );
--- a/src/common/groups/pending_write.ts
+++ b/src/common/groups/pending_write.ts
@@ -59,17 +59,17 @@
   }
 
   /** An answer was lost. */
-  lost(): void {
+  markInDoubt(): void {
     this.#wasLost = true;
     this.#state = WriteState.InDoubt;
   }
 
-  conflicted(): void {
+  markConflicted(): void {
     this.#state = WriteState.Conflicted;
   }
 
   /** This sending had no effect; says whether an earlier one still may. */
-  failed(): boolean {
+  handleFailure(): boolean {
     this.#state = this.#wasLost ? WriteState.InDoubt : this.#state;
     return this.#wasLost;
   }
@@ -84,7 +84,7 @@
   }
 
   /** It is being sent again. */
-  sentAgain(): void {
+  markResent(): void {
     this.#state = WriteState.Sent;
   }
 }
--- a/src/common/membership/digest_ring.ts
+++ b/src/common/membership/digest_ring.ts
@@ -12,7 +12,7 @@
  * The daemon to pull from in a round, or null when there is no other.
  * @param others - the zone's other live daemons
  */
-export function chooseSource(
+export function choosePullSource(
   others: readonly DaemonId[],
   place: { readonly self: DaemonId; readonly round: number },
 ): DaemonId | null {
--- a/src/common/membership/digest_board.ts
+++ b/src/common/membership/digest_table.ts
@@ -24,7 +24,7 @@
 }
 
 /** Holds this daemon's row and the newest known row of each other. */
-export class DigestBoard {
+export class DigestTable {
   readonly #self: number;
   readonly #rows = new Map<number, IRow>();
   /**
@@ -68,7 +68,7 @@
   }
 
   /** What this daemon holds, to be sent with a pull. */
-  held(now: MonotonicTime): readonly IHeldRow[] {
+  heldRows(now: MonotonicTime): readonly IHeldRow[] {
     this.#dropOld(now);
     return [...this.#rows].map(([poller, row]) => headerOf(poller, row, now));
   }
@@ -79,7 +79,10 @@
   }
 
   /** Rows that are fresher than the asker's. */
-  answer(held: readonly IHeldRow[], now: MonotonicTime): readonly IDigestRow[] {
+  fresherRows(
+    held: readonly IHeldRow[],
+    now: MonotonicTime,
+  ): readonly IDigestRow[] {
     const known = new Map(held.map((row) => [row.poller, row]));
     const rows: IDigestRow[] = [];
     for (const [poller, row] of this.#rows) {
@@ -96,7 +99,7 @@
    * Takes an answer; returns the reports that it made fresher.
    * @param askedAt - when it was asked for, on this daemon's clock
    */
-  take(
+  merge(
     rows: readonly IDigestRow[],
     askedAt: MonotonicTime,
   ): readonly ISeenReport[] {
--- a/src/common/membership/digest_board_test.ts
+++ b/src/common/membership/digest_table_test.ts
@@ -2,7 +2,7 @@
 import fc from "fast-check";
 import { TargetState } from "../types.ts";
 import type { ISeenReport } from "../types.ts";
-import { DigestBoard } from "./digest_board.ts";
+import { DigestTable } from "./digest_table.ts";
 
 /** A report that carries the true moment of its poll in `tokens`. */
 function polled(instance: string, at: number, seenAt: number): ISeenReport {
@@ -36,7 +36,7 @@
   it("never make a report look fresher than it is", () => {
     const steps = fc.array(step, { maxLength: 60 });
     const property = fc.property(steps, (schedule) => {
-      const boards = [0, 1, 2, 3, 4].map((key) => new DigestBoard(key));
+      const boards = [0, 1, 2, 3, 4].map((key) => new DigestTable(key));
       const local = (key: number, at: number) => at + key * 1_000_000;
       let now = 0;
       for (const { asker, answerer, polls, there, back } of schedule) {
@@ -45,11 +45,11 @@
           boards[answerer]!.publish([seen]);
         }
         const askedAt = local(asker, now);
-        const held = boards[asker]!.held(askedAt);
+        const held = boards[asker]!.heldRows(askedAt);
         now += there;
-        const rows = boards[answerer]!.answer(held, local(answerer, now));
+        const rows = boards[answerer]!.fresherRows(held, local(answerer, now));
         now += back;
-        for (const { report, seenAt } of boards[asker]!.take(rows, askedAt)) {
+        for (const { report, seenAt } of boards[asker]!.merge(rows, askedAt)) {
           expect(seenAt).to.be.at.most(local(asker, report.tokens));
         }
       }
@@ -60,10 +60,10 @@
   // Guards against old reports taken for fresh ones, once a daemon that stood
   // still shares again what it polls.
   it("are told from older ones after a daemon had none to share", () => {
-    const asker = new DigestBoard(0);
-    const answerer = new DigestBoard(1);
+    const asker = new DigestTable(0);
+    const answerer = new DigestTable(1);
     const pull = (now: number) =>
-      asker.take(answerer.answer(asker.held(now), now), now);
+      asker.merge(answerer.fresherRows(asker.heldRows(now), now), now);
     answerer.publish([polled("target", 100, 100)]);
     pull(200);
     answerer.publish([]);
@@ -76,23 +76,23 @@
   });
 
   it("leave out what the asker holds already", () => {
-    const [asker, answerer] = [new DigestBoard(1), new DigestBoard(2)];
+    const [asker, answerer] = [new DigestTable(1), new DigestTable(2)];
     answerer.publish([polled("target", 5, 10)]);
-    asker.take(answerer.answer(asker.held(0), 10), 0);
+    asker.merge(answerer.fresherRows(asker.heldRows(0), 10), 0);
     answerer.publish([polled("target", 5, 20)]);
-    const [row] = answerer.answer(asker.held(30), 20);
+    const [row] = answerer.fresherRows(asker.heldRows(30), 20);
     expect(row).to.deep.include({ identities: null, loads: null });
-    const [seen] = asker.take([row!], 40);
+    const [seen] = asker.merge([row!], 40);
     expect(seen).to.deep.equal(polled("target", 5, 40));
   });
 
   it("send a load that changed without the rest of the report", () => {
-    const [asker, answerer] = [new DigestBoard(1), new DigestBoard(2)];
+    const [asker, answerer] = [new DigestTable(1), new DigestTable(2)];
     answerer.publish([polled("target", 5, 10)]);
-    asker.take(answerer.answer(asker.held(0), 10), 0);
+    asker.merge(answerer.fresherRows(asker.heldRows(0), 10), 0);
     answerer.publish([polled("target", 6, 20)]);
-    const [row] = answerer.answer(asker.held(30), 20);
+    const [row] = answerer.fresherRows(asker.heldRows(30), 20);
     expect(row).to.deep.include({ identities: null, loads: [0, 0, 6, 0] });
-    expect(asker.take([row!], 40)[0]?.report.tokens).to.equal(6);
+    expect(asker.merge([row!], 40)[0]?.report.tokens).to.equal(6);
   });
 });
--- a/src/common/membership/member_table.ts
+++ b/src/common/membership/member_table.ts
@@ -2,10 +2,10 @@
 import type { IHash } from "../services/services.ts";
 import type { DaemonId, MonotonicTime } from "../types.ts";
 import { MemberState } from "./types.ts";
-import type { IMemberNews } from "./types.ts";
+import type { IMemberUpdate } from "./types.ts";
 
 /** News with the moment it was taken in. */
-export interface IKnownMember extends IMemberNews {
+export interface IKnownMember extends IMemberUpdate {
   readonly since: MonotonicTime;
 }
 
@@ -61,7 +61,7 @@
   }
 
   /** Takes news in unless what is known is newer; true when it was taken. */
-  take(news: IMemberNews, now: MonotonicTime): boolean {
+  apply(news: IMemberUpdate, now: MonotonicTime): boolean {
     const known = this.#members.get(news.member.daemon);
     if (known !== undefined && !isNewer(news, known)) {
       return false;
@@ -86,7 +86,7 @@
   }
 }
 
-function isNewer(news: IMemberNews, known: IMemberNews): boolean {
+function isNewer(news: IMemberUpdate, known: IMemberUpdate): boolean {
   if (known.state === MemberState.Left) {
     return false;
   }
--- a/src/common/membership/peers.ts
+++ b/src/common/membership/peers.ts
@@ -4,17 +4,17 @@
 import type { IListVersion } from "../services/services.ts";
 import type { ICallFailure } from "../types.ts";
 import type { IDigestRow, IHeldRow } from "./digest_types.ts";
-import type { IMember, IMemberNews, IProbe } from "./types.ts";
-import type { IZoneSummary } from "./zone_links.ts";
+import type { IMember, IMemberUpdate, IProbe } from "./types.ts";
+import type { IZoneSummary } from "./zone_directory.ts";
 
 /** What a delegate tells of the zones, with its plan list versions. */
-export interface IZonesAnswer {
+export interface IZonesResponse {
   readonly zones: readonly IZoneSummary[];
   readonly versions: readonly IListVersion[];
 }
 
 /** What a daemon says when it asks about the zones. */
-export interface IZonesQuestion {
+export interface IZonesRequest {
   readonly from: IMember;
   readonly versions: readonly IListVersion[];
 }
@@ -34,15 +34,15 @@
   ): Promise<Result<IProbe, ICallFailure>>;
   synchronize(
     address: string,
-  ): Promise<Result<readonly IMemberNews[], ICallFailure>>;
+  ): Promise<Result<readonly IMemberUpdate[], ICallFailure>>;
   pullDigests(
     address: string,
     held: readonly IHeldRow[],
   ): Promise<Result<readonly IDigestRow[], ICallFailure>>;
   pullZones(
     address: string,
-    question: IZonesQuestion,
-  ): Promise<Result<IZonesAnswer, ICallFailure>>;
+    question: IZonesRequest,
+  ): Promise<Result<IZonesResponse, ICallFailure>>;
   fetchList(
     address: string,
     list: PlanListName,
@@ -50,15 +50,15 @@
 }
 
 /** What a daemon answers its peers. */
-export interface IPeerAnswers {
-  probed(probe: IProbe): IProbe;
+export interface IPeerRequestHandler {
+  handleProbe(probe: IProbe): IProbe;
   /** Passes a probe on; its answer, or why there is none. */
-  probedThrough(
+  relayProbe(
     probe: IProbe,
     target: string,
   ): Promise<Result<IProbe, ICallFailure>>;
-  view(): readonly IMemberNews[];
+  view(): readonly IMemberUpdate[];
   digests(held: readonly IHeldRow[]): readonly IDigestRow[];
-  zones(question: IZonesQuestion): IZonesAnswer;
-  text(list: PlanListName): IListText | null;
+  zones(question: IZonesRequest): IZonesResponse;
+  listText(list: PlanListName): IListText | null;
 }
--- a/src/common/membership/membership.ts
+++ b/src/common/membership/swim_membership.ts
@@ -14,13 +14,13 @@
 import type { IHash, IRandom } from "../services/services.ts";
 import type { DaemonId, MonotonicTime } from "../types.ts";
 import { isLive, MemberTable } from "./member_table.ts";
-import { NewsQueue } from "./news_queue.ts";
+import { UpdateQueue } from "./update_queue.ts";
 import { MembershipActionKind, MemberState } from "./types.ts";
 import type {
   IMember,
   IMemberMessage,
   IMembershipTiming,
-  IMemberNews,
+  IMemberUpdate,
   MembershipAction,
 } from "./types.ts";
 
@@ -65,12 +65,12 @@
 }
 
 /** One daemon's part in the protocol. */
-export class Membership {
+export class SwimMembership {
   readonly #self: IMember;
   readonly #timing: IMembershipTiming;
   readonly #random: IRandom;
   readonly #table: MemberTable;
-  readonly #news = new NewsQueue();
+  readonly #news = new UpdateQueue();
   readonly #open = new Map<number, IOpenProbe>();
   readonly #contacts = new Map<DaemonId, IContact>();
   readonly #selfHash: number;
@@ -104,7 +104,7 @@
   }
 
   /** Everything known, this daemon first: for a peer that compares views. */
-  get view(): readonly IMemberNews[] {
+  get view(): readonly IMemberUpdate[] {
     return [this.#ownNews, ...this.#table.all];
   }
 
@@ -134,12 +134,12 @@
   }
 
   /** Probes some members out of turn, so that news spreads at once. */
-  spread(count: number): readonly MembershipAction[] {
+  spreadUpdates(count: number): readonly MembershipAction[] {
     return this.#sample(count, new Set()).map((member) => this.#probe(member));
   }
 
   /** Takes daemons named by the platform or the settings: they are probed. */
-  learned(members: readonly IMember[]): void {
+  addContacts(members: readonly IMember[]): void {
     for (const member of members) {
       const isKnown = this.#table.get(member.daemon) !== undefined;
       if (this.#belongs(member) && !isKnown) {
@@ -150,7 +150,7 @@
   }
 
   /** Another daemon's probe; `answer` afterwards gives what to answer. */
-  probed(
+  handleProbe(
     message: IMemberMessage,
     now: MonotonicTime,
   ): readonly MembershipAction[] {
@@ -158,12 +158,12 @@
   }
 
   /** The answer to a probe by a daemon. */
-  answer(to: DaemonId): IMemberMessage {
+  composeAnswer(to: DaemonId): IMemberMessage {
     return this.#compose(to);
   }
 
   /** A probe was answered, directly or through a relay. */
-  answered(
+  handleAnswer(
     probe: number,
     message: IMemberMessage,
     now: MonotonicTime,
@@ -187,7 +187,10 @@
   }
 
   /** A probe was not answered, directly or by one relay. */
-  failed(probe: number, now: MonotonicTime): readonly MembershipAction[] {
+  handleProbeFailure(
+    probe: number,
+    now: MonotonicTime,
+  ): readonly MembershipAction[] {
     const open = this.#open.get(probe);
     if (open === undefined) {
       return [];
@@ -200,8 +203,8 @@
   }
 
   /** Takes another daemon's whole view. */
-  synchronized(
-    view: readonly IMemberNews[],
+  mergeView(
+    view: readonly IMemberUpdate[],
     now: MonotonicTime,
   ): readonly MembershipAction[] {
     const actions: MembershipAction[] = [];
@@ -212,10 +215,10 @@
   /** Says that this daemon leaves; the probes should be sent before exit. */
   leave(): readonly MembershipAction[] {
     this.#state = MemberState.Left;
-    return this.spread(TOLD_OF_LEAVING);
+    return this.spreadUpdates(TOLD_OF_LEAVING);
   }
 
-  get #ownNews(): IMemberNews {
+  get #ownNews(): IMemberUpdate {
     return {
       member: this.#self,
       incarnation: this.#incarnation,
@@ -242,7 +245,7 @@
     return {
       from: this.#ownNews,
       viewHash: this.#viewHash,
-      news: [...(isDoubted ? [believed] : []), ...this.#news.take()],
+      news: [...(isDoubted ? [believed] : []), ...this.#news.takeNext()],
     };
   }
 
@@ -265,7 +268,7 @@
   }
 
   #takeNews(
-    news: IMemberNews,
+    news: IMemberUpdate,
     now: MonotonicTime,
     actions: MembershipAction[],
   ): void {
@@ -277,7 +280,7 @@
       return;
     }
     const before = this.#table.get(news.member.daemon);
-    if (!this.#table.take(news, now)) {
+    if (!this.#table.apply(news, now)) {
       return;
     }
     this.#contacts.delete(news.member.daemon);
@@ -288,7 +291,7 @@
     }
   }
 
-  #refute(news: IMemberNews): void {
+  #refute(news: IMemberUpdate): void {
     const isAccusation = news.state !== MemberState.Alive;
     if (isAccusation && news.incarnation >= this.#incarnation) {
       this.#incarnation = news.incarnation + 1;
@@ -304,7 +307,7 @@
         const { member, incarnation } = known;
         const state = MemberState.Dead;
         this.#takeNews({ member, incarnation, state }, now, actions);
-        actions.push(...this.spread(TOLD_OF_FINDING));
+        actions.push(...this.spreadUpdates(TOLD_OF_FINDING));
       }
     }
     return actions;
@@ -344,7 +347,7 @@
       const { incarnation } = known;
       const state = MemberState.Suspect;
       this.#takeNews({ member: target, incarnation, state }, now, actions);
-      actions.push(...this.spread(TOLD_OF_FINDING));
+      actions.push(...this.spreadUpdates(TOLD_OF_FINDING));
     }
     return actions;
   }
--- a/src/common/membership/membership_test.ts
+++ b/src/common/membership/swim_membership_test.ts
@@ -119,7 +119,7 @@
       incarnation: 0,
       state: MemberState.Alive,
     };
-    membership.answered(
+    membership.handleAnswer(
       probe !== undefined && "probe" in probe ? probe.probe : 0,
       { from, viewHash: 0, news: [] },
       network.now,
@@ -133,8 +133,8 @@
     const { network } = startZone(6, { seed: 9, loss: 0 });
     const [leaving, told] = network.nodes;
     leaving!.membership.leave();
-    const message = leaving!.membership.answer(told!.member.daemon);
-    told!.membership.probed(message, network.now);
+    const message = leaving!.membership.composeAnswer(told!.member.daemon);
+    told!.membership.handleProbe(message, network.now);
     expect(told!.membership.stateOf(leaving!.member.daemon)).to.equal(
       MemberState.Left,
     );
--- a/src/common/membership/types.ts
+++ b/src/common/membership/types.ts
@@ -20,7 +20,7 @@
 }
 
 /** One statement on a daemon; the higher incarnation is the newer. */
-export interface IMemberNews {
+export interface IMemberUpdate {
   readonly member: IMember;
   /** Raised only by the daemon itself, to refute what is said of it. */
   readonly incarnation: number;
@@ -29,10 +29,10 @@
 
 /** What a probe and its answer carry. */
 export interface IMemberMessage {
-  readonly from: IMemberNews;
+  readonly from: IMemberUpdate;
   /** A hash of the sender's live members: views that differ are compared. */
   readonly viewHash: number;
-  readonly news: readonly IMemberNews[];
+  readonly news: readonly IMemberUpdate[];
 }
 
 /** A probe with what is piggybacked on it. */
--- a/src/common/membership/news_queue.ts
+++ b/src/common/membership/update_queue.ts
@@ -4,35 +4,35 @@
  * bound on what a change costs.
  */
 import type { DaemonId } from "../types.ts";
-import type { IMemberNews } from "./types.ts";
+import type { IMemberUpdate } from "./types.ts";
 
 /** Most items in one message; a message stays under about one packet. */
-export const LARGEST_NEWS = 8;
+export const MAXIMUM_UPDATES = 8;
 
 /** Repeats for each doubling of the members, as in SWIM's analysis. */
 const REPEATS_PER_DOUBLING = 3;
 
 interface IQueued {
-  readonly news: IMemberNews;
+  readonly news: IMemberUpdate;
   repeats: number;
 }
 
 /** Keeps the newest item for each daemon. */
-export class NewsQueue {
+export class UpdateQueue {
   readonly #queued = new Map<DaemonId, IQueued>();
 
   /** @param members - live members, which set the number of repeats */
-  add(news: IMemberNews, members: number): void {
+  add(news: IMemberUpdate, members: number): void {
     const repeats = REPEATS_PER_DOUBLING * Math.ceil(Math.log2(members + 2));
     this.#queued.set(news.member.daemon, { news, repeats });
   }
 
   /** The items told least often so far. */
-  take(): IMemberNews[] {
+  takeNext(): IMemberUpdate[] {
     const order = [...this.#queued.values()].sort(
       (left, right) => right.repeats - left.repeats,
     );
-    const taken = order.slice(0, LARGEST_NEWS);
+    const taken = order.slice(0, MAXIMUM_UPDATES);
     for (const item of taken) {
       item.repeats -= 1;
       if (item.repeats <= 0) {
--- a/src/common/membership/zone_links.ts
+++ b/src/common/membership/zone_directory.ts
@@ -49,7 +49,7 @@
 }
 
 /** Keeps the newest summary of each zone, and chooses whom to ask next. */
-export class ZoneLinks {
+export class ZoneDirectory {
   readonly #self: IMember;
   readonly #live: ILiveDaemons;
   readonly #hash: IHash;
@@ -85,7 +85,7 @@
   }
 
   /** Replaces contacts in other zones by what the platform lists. */
-  learned(members: readonly IMember[]): void {
+  setContacts(members: readonly IMember[]): void {
     this.#contacts.clear();
     for (const member of members) {
       if (member.zone !== this.#self.zone) {
@@ -107,7 +107,7 @@
    * Whom to ask now, or null.
    * @param members - this zone's live members, to reach a delegate among them
    */
-  next(members: readonly IMember[], now: MonotonicTime): IMember | null {
+  nextContact(members: readonly IMember[], now: MonotonicTime): IMember | null {
     if (this.isDelegate) {
       return this.#nextOtherZone(now);
     }
@@ -127,7 +127,7 @@
    * @param askedAt - when it was asked for; ages count from there, so that a
    * slow answer never looks fresher than it is
    */
-  take(zones: readonly IZoneSummary[], askedAt: MonotonicTime): void {
+  merge(zones: readonly IZoneSummary[], askedAt: MonotonicTime): void {
     for (const summary of zones) {
       const seenAt = askedAt - summary.age;
       const held = this.#held.get(summary.zone);
@@ -138,7 +138,7 @@
     }
   }
 
-  failed(member: IMember, now: MonotonicTime): void {
+  recordFailure(member: IMember, now: MonotonicTime): void {
     this.#failedAt.set(member.peerAddress, now);
     for (const [address, at] of this.#failedAt) {
       if (now - at > FAILED_FOR) {
--- a/src/common/relay/store_relay.ts
+++ b/src/common/relay/store_relay.ts
@@ -9,26 +9,26 @@
  * others ask when it is silent, or when its word is too old.
  */
 import type { ObjectFollower } from "../calls/object_follower.ts";
-import type { IFollowedChange } from "../calls/object_follower.ts";
-import type { TargetBook } from "../calls/target_book.ts";
+import type { IObjectChanges } from "../calls/object_follower.ts";
+import type { TargetRegistry } from "../calls/target_registry.ts";
 import type { IClock } from "../services/services.ts";
-import { TargetLog } from "./target_log.ts";
-import type { IStoreVersions, IStoreWord } from "./types.ts";
+import { TargetChangeLog } from "./target_change_log.ts";
+import type { IStoreVersions, IStoreUpdate } from "./types.ts";
 
 /** What the relay stands between. */
 export interface IStoreRelayParts {
   readonly configuration: ObjectFollower;
   readonly targetList: ObjectFollower;
-  readonly targets: TargetBook;
+  readonly targets: TargetRegistry;
   readonly clock: IClock;
   /** The holder told of changes. */
-  readonly onTargetsTold: () => void;
+  readonly onTargetsUpdated: () => void;
 }
 
 /** Tells and hears. */
 export class StoreRelay {
   readonly #parts: IStoreRelayParts;
-  readonly #log = new TargetLog();
+  readonly #log = new TargetChangeLog();
 
   constructor(parts: IStoreRelayParts) {
     this.#parts = parts;
@@ -44,9 +44,19 @@
   }
 
   /** The store itself told of changes, which the book has taken. */
-  targetsFollowed({ objects, removed, isWhole, version }: IFollowedChange) {
+  recordTargetChanges({
+    objects,
+    removed,
+    isFullList,
+    version,
+  }: IObjectChanges) {
     const ids = [...objects.map(({ name }) => name), ...removed];
-    this.#log.note({ version, isWhole, ids, all: this.#parts.targets.all });
+    this.#log.record({
+      version,
+      isWhole: isFullList,
+      ids,
+      all: this.#parts.targets.all,
+    });
   }
 
   /**
@@ -54,9 +64,9 @@
    *
    * @param versions - what the process has
    */
-  word(versions: IStoreVersions): IStoreWord | null {
-    const configuration = this.#parts.configuration.word;
-    const targets = this.#parts.targetList.word;
+  updateFor(versions: IStoreVersions): IStoreUpdate | null {
+    const configuration = this.#parts.configuration.status;
+    const targets = this.#parts.targetList.status;
     if (configuration === null || targets === null) {
       return null;
     }
@@ -64,29 +74,29 @@
     return {
       configuration,
       targets: { ...targets, changedVersion },
-      targetChanges: this.#log.since(versions.targets),
+      targetChanges: this.#log.changesSince(versions.targets),
     };
   }
 
   /** The holder's word, with the changes since what this process named. */
-  heard({ configuration, targets, targetChanges }: IStoreWord): void {
+  applyUpdate({ configuration, targets, targetChanges }: IStoreUpdate): void {
     const { targetList, clock } = this.#parts;
-    this.#parts.configuration.heard(configuration);
+    this.#parts.configuration.receiveRelayedStatus(configuration);
     const isNews = targets.version > targetList.version;
-    if (targetChanges !== null && isNews && targetList.isKnown) {
+    if (targetChanges !== null && isNews && targetList.isLoaded) {
       const { version } = targets;
-      this.#parts.targets.told(targetChanges, clock.now());
+      this.#parts.targets.applyRelayedChanges(targetChanges, clock.now());
       const ids = [
         ...targetChanges.targets.map(({ id }) => id),
         ...targetChanges.removed,
       ];
       const { all } = this.#parts.targets;
-      this.#log.note({ version, isWhole: false, ids, all });
-      targetList.advance(version);
+      this.#log.record({ version, isWhole: false, ids, all });
+      targetList.advanceTo(version);
       if (ids.length > 0) {
-        this.#parts.onTargetsTold();
+        this.#parts.onTargetsUpdated();
       }
     }
-    targetList.heard(targets);
+    targetList.receiveRelayedStatus(targets);
   }
 }
--- a/src/common/relay/store_relay_test.ts
+++ b/src/common/relay/store_relay_test.ts
@@ -7,12 +7,12 @@
 import { KeptLog } from "../../../test/support/quiet_services.ts";
 import { SeededRandom } from "../../../test/support/seeded_random.ts";
 import { ObjectFollower } from "../calls/object_follower.ts";
-import { TargetBook } from "../calls/target_book.ts";
+import { TargetRegistry } from "../calls/target_registry.ts";
 import type { IObjectStore, IWatchResult } from "../services/services.ts";
 import { CallFailureKind } from "../types.ts";
 import type { ICallFailure } from "../types.ts";
 import { StoreRelay } from "./store_relay.ts";
-import type { IStoreWord } from "./types.ts";
+import type { IStoreUpdate } from "./types.ts";
 
 const AWAY = { kind: CallFailureKind.Refused, detail: "away" };
 const SEED = 20261203;
@@ -137,7 +137,7 @@
 class Process {
   readonly link: Link;
   readonly relay: StoreRelay;
-  readonly book = new TargetBook((id) => listedEngine(id), 0);
+  readonly book = new TargetRegistry((id) => listedEngine(id), 0);
   /** Answers of the store that were the first after an outage. */
   outages = 0;
   readonly #followers: readonly ObjectFollower[];
@@ -168,8 +168,8 @@
         watchTime,
         onChanged: (change) => {
           this.outages += change.isAfterOutage ? 1 : 0;
-          this.book.take(change, clock.now());
-          this.relay.targetsFollowed(change);
+          this.book.applyStoreChanges(change, clock.now());
+          this.relay.recordTargetChanges(change);
         },
       },
     );
@@ -178,7 +178,7 @@
       targetList,
       targets: this.book,
       clock,
-      onTargetsTold: () => undefined,
+      onTargetsUpdated: () => undefined,
     });
     this.#followers = [configuration, targetList];
     this.#followers.forEach((follower) => follower.start());
@@ -201,7 +201,7 @@
   holder = 0;
   /** Processes that neither tell nor hear. */
   readonly mute = new Set<number>();
-  #word: { readonly to: number; readonly word: IStoreWord }[] = [];
+  #word: { readonly to: number; readonly word: IStoreUpdate }[] = [];
 
   constructor(count: number) {
     this.processes = Array.from(
@@ -227,7 +227,7 @@
 
   #exchange(): void {
     for (const { to, word } of this.#word) {
-      this.processes[to]?.relay.heard(word);
+      this.processes[to]?.relay.applyUpdate(word);
     }
     this.#word = [];
     const holder = this.processes[this.holder];
@@ -235,7 +235,7 @@
       return;
     }
     this.processes.forEach((process, to) => {
-      const word = holder.relay.word(process.relay.versions);
+      const word = holder.relay.updateFor(process.relay.versions);
       if (to !== this.holder && !this.mute.has(to) && word !== null) {
         this.#word.push({ to, word });
       }
--- a/src/common/relay/target_log.ts
+++ b/src/common/relay/target_change_log.ts
@@ -12,7 +12,7 @@
 import type { ITargetChanges } from "./types.ts";
 
 /** Changes kept: far more than come in a relay's longest gap. */
-const MOST_ENTRIES = 2_000;
+const MAX_ENTRIES = 2_000;
 
 interface IEntry {
   readonly version: number;
@@ -20,7 +20,7 @@
 }
 
 /** What became known with one answer. */
-export interface INotedChange {
+export interface IRecordedChange {
   readonly version: number;
   /** Whether the list was read whole: nothing is known of the time before. */
   readonly isWhole: boolean;
@@ -31,7 +31,7 @@
 }
 
 /** The log of one process. */
-export class TargetLog {
+export class TargetChangeLog {
   #entries: readonly IEntry[] = [];
   /** What each target was when it last changed. */
   readonly #known = new Map<InstanceId, string>();
@@ -45,7 +45,7 @@
     return this.#changedVersion;
   }
 
-  note({ version, isWhole, ids, all }: INotedChange): void {
+  record({ version, isWhole, ids, all }: IRecordedChange): void {
     this.#all = all;
     if (isWhole) {
       this.#entries = [];
@@ -62,7 +62,7 @@
   }
 
   /** The changes after a version; null where they are not all known. */
-  since(version: number): ITargetChanges | null {
+  changesSince(version: number): ITargetChanges | null {
     if (this.#start === null || version < this.#start) {
       return null;
     }
@@ -95,7 +95,7 @@
 
   #add(entries: readonly IEntry[]): void {
     const all = [...this.#entries, ...entries];
-    const surplus = all.length - MOST_ENTRIES;
+    const surplus = all.length - MAX_ENTRIES;
     this.#start = all[surplus - 1]?.version ?? this.#start;
     this.#entries = surplus > 0 ? all.slice(surplus) : all;
   }
--- a/src/common/relay/target_log_test.ts
+++ b/src/common/relay/target_change_log_test.ts
@@ -1,11 +1,11 @@
 import { expect } from "chai";
 import { listedEngine } from "../../../test/support/engines.ts";
 import type { IListedTarget } from "../calls/types.ts";
-import { TargetLog } from "./target_log.ts";
+import { TargetChangeLog } from "./target_change_log.ts";
 
 /** A list that is changed and noted step by step. */
 class NotedList {
-  readonly log = new TargetLog();
+  readonly log = new TargetChangeLog();
   readonly #all = new Map<string, IListedTarget>();
   #version = 0;
 
@@ -27,7 +27,7 @@
 
   #note(ids: readonly string[], isWhole: boolean): void {
     this.#version += 1;
-    this.log.note({ version: this.#version, isWhole, ids, all: this.#all });
+    this.log.record({ version: this.#version, isWhole, ids, all: this.#all });
   }
 }
 
@@ -41,16 +41,19 @@
     expect(list.log.changedVersion).to.equal(1);
     list.set("b", { address: "10.0.0.9:1" });
     expect(list.log.changedVersion).to.equal(3);
-    const changes = list.log.since(1);
+    const changes = list.log.changesSince(1);
     expect(changes?.targets.map(({ id }) => id)).to.deep.equal(["b"]);
-    expect(list.log.since(3)).to.deep.equal({ targets: [], removed: [] });
+    expect(list.log.changesSince(3)).to.deep.equal({
+      targets: [],
+      removed: [],
+    });
   });
 
   it("names what is gone", () => {
     const list = new NotedList();
     list.whole("a", "b");
     list.remove("a");
-    expect(list.log.since(1)?.removed).to.deep.equal(["a"]);
+    expect(list.log.changesSince(1)?.removed).to.deep.equal(["a"]);
   });
 
   // The holder's link to the store was cut, and it has read the whole list
@@ -61,7 +64,10 @@
     list.whole("a");
     list.set("b");
     list.whole("b");
-    expect(list.log.since(2)).to.equal(null);
-    expect(list.log.since(3)).to.deep.equal({ targets: [], removed: [] });
+    expect(list.log.changesSince(2)).to.equal(null);
+    expect(list.log.changesSince(3)).to.deep.equal({
+      targets: [],
+      removed: [],
+    });
   });
 });
--- a/src/common/relay/types.ts
+++ b/src/common/relay/types.ts
@@ -9,7 +9,7 @@
 }
 
 /** What the holder knows of the objects of one kind. */
-export interface IKindWord {
+export interface IKindStatus {
   /** The store's version at its last answer to the holder. */
   readonly version: number;
   /** No object has changed since this version. */
@@ -25,10 +25,10 @@
 }
 
 /** The holder's word on the store. */
-export interface IStoreWord {
+export interface IStoreUpdate {
   /** Its object is large and seldom changes: who lacks it asks the store. */
-  readonly configuration: IKindWord;
-  readonly targets: IKindWord;
+  readonly configuration: IKindStatus;
+  readonly targets: IKindStatus;
   /** Since the version that was named; null where it is not known so far back. */
   readonly targetChanges: ITargetChanges | null;
 }
--- a/src/common/replicas/domain_summary.ts
+++ b/src/common/replicas/domain_summary.ts
@@ -1,6 +1,6 @@
 /** What each fabric domain has, in a form for the log. */
 import type { DomainName, InstanceId } from "../types.ts";
-import type { IEngineView } from "./engine_book.ts";
+import type { IEngineView } from "./engine_registry.ts";
 import type { IReplicaGroup } from "./replica_group.ts";
 
 /** One domain at one moment. */
--- a/src/common/replicas/engine_watch.ts
+++ b/src/common/replicas/engine_monitor.ts
@@ -5,12 +5,12 @@
 import type { IListedTarget } from "../calls/types.ts";
 import type { IClock, ILog, IMetrics } from "../services/services.ts";
 import type { InstanceId, MonotonicTime } from "../types.ts";
-import { EngineBook } from "./engine_book.ts";
-import type { IEngineView } from "./engine_book.ts";
-import type { EngineViews } from "./group_keeper.ts";
+import { EngineRegistry } from "./engine_registry.ts";
+import type { IEngineView } from "./engine_registry.ts";
+import type { EngineViews } from "./group_controller.ts";
 import { GroupPhase } from "./replica_group.ts";
 import type { IReplicaGroup } from "./replica_group.ts";
-import type { IEngines } from "./types.ts";
+import type { IEngineClient } from "./types.ts";
 
 /**
  * Time between two reports of an engine that serves or is free: reports are
@@ -38,68 +38,68 @@
 const FORGET_AFTER = 15_000;
 
 /** What the watch needs. */
-export interface IEngineWatchParts {
-  readonly engines: IEngines;
+export interface IEngineMonitorParts {
+  readonly engines: IEngineClient;
   readonly clock: IClock;
   readonly log: ILog;
   readonly metrics: IMetrics;
-  readonly listed: () => readonly IListedTarget[];
+  readonly listedTargets: () => readonly IListedTarget[];
   readonly isBeforeTraffic: () => boolean;
 }
 
 /** The engines of one service, while this process holds the lease. */
-export class EngineWatch {
-  readonly #parts: IEngineWatchParts;
-  readonly #book = new EngineBook(FORGET_AFTER);
-  readonly #asked = new Map<InstanceId, MonotonicTime>();
+export class EngineMonitor {
+  readonly #parts: IEngineMonitorParts;
+  readonly #registry = new EngineRegistry(FORGET_AFTER);
+  readonly #askedAt = new Map<InstanceId, MonotonicTime>();
   /** Until when each suspected group's members are asked often. */
-  readonly #suspicions = new Map<string, MonotonicTime>();
+  readonly #suspectedUntil = new Map<string, MonotonicTime>();
   #listSize = 0;
   #listGrewAt: MonotonicTime;
-  #isSurveyed = false;
+  #isSurveyComplete = false;
 
-  constructor(parts: IEngineWatchParts) {
+  constructor(parts: IEngineMonitorParts) {
     this.#parts = parts;
     this.#listGrewAt = parts.clock.now();
   }
 
   get views(): EngineViews {
-    return this.#book.views;
+    return this.#registry.views;
   }
 
   /** Whether each engine was asked once; nothing is concluded before. */
-  get isSurveyed(): boolean {
-    return this.#isSurveyed;
+  get isSurveyComplete(): boolean {
+    return this.#isSurveyComplete;
   }
 
   /** Whether so many are silent that this process's link is the likely cause. */
   get isOwnLinkSuspect(): boolean {
-    return this.#book.isOwnLinkSuspect;
+    return this.#registry.isOwnLinkSuspect;
   }
 
   /** Processes found groups standing still: their members are asked at once. */
-  suspect(groups: readonly string[]): void {
+  suspectGroups(groups: readonly string[]): void {
     const until = this.#parts.clock.now() + SUSPICION_TIME;
     for (const group of groups) {
-      this.#suspicions.set(group, until);
+      this.#suspectedUntil.set(group, until);
     }
   }
 
   /** Takes the platform's list and asks whoever is due. */
-  look(groups: readonly IReplicaGroup[], now: MonotonicTime): void {
-    const listed = this.#parts.listed();
+  poll(groups: readonly IReplicaGroup[], now: MonotonicTime): void {
+    const listed = this.#parts.listedTargets();
     if (listed.length > this.#listSize) {
       this.#listGrewAt = now;
     }
     this.#listSize = listed.length;
-    this.#book.listed(listed, now);
-    this.#endSuspicions(now);
+    this.#registry.updateTargets(listed, now);
+    this.#removeOldSuspicions(now);
     this.#askForReports(groups, now);
-    this.#isSurveyed ||= this.#isWholeKnown(now);
+    this.#isSurveyComplete ||= this.#completesSurvey(now);
   }
 
-  #isWholeKnown(now: MonotonicTime): boolean {
-    const views = [...this.#book.views.values()];
+  #completesSurvey(now: MonotonicTime): boolean {
+    const views = [...this.#registry.views.values()];
     // Only at the first start do engines appear one after the other.
     const isSettled =
       !this.#parts.isBeforeTraffic() ||
@@ -117,18 +117,18 @@
 
   #askForReports(groups: readonly IReplicaGroup[], now: MonotonicTime): void {
     const busy = this.#busyEngines(groups);
-    for (const [id, view] of this.#book.views) {
+    for (const [id, view] of this.#registry.views) {
       // A head that the platform has dropped may still answer.
       if (!view.isListed && !busy.has(id)) {
         continue;
       }
       // A silent engine is most likely gone; the platform's list will tell.
       const isBusy =
-        (busy.has(id) && !view.isSilent) || this.#book.isInDoubt(id);
+        (busy.has(id) && !view.isSilent) || this.#registry.needsRecheck(id);
       const period = isBusy ? BUSY_REPORT_PERIOD : CALM_REPORT_PERIOD;
-      const askedAt = this.#asked.get(id) ?? Number.NEGATIVE_INFINITY;
+      const askedAt = this.#askedAt.get(id) ?? Number.NEGATIVE_INFINITY;
       if (now - askedAt >= period) {
-        this.#asked.set(id, now);
+        this.#askedAt.set(id, now);
         void this.#ask(view, now);
       }
     }
@@ -136,17 +136,17 @@
 
   async #ask(view: IEngineView, askedAt: MonotonicTime): Promise<void> {
     const { id } = view.target;
-    const report = await this.#parts.engines.report(
+    const report = await this.#parts.engines.fetchReport(
       view.target,
       REPORT_TIMEOUT,
     );
     if (report.isErr()) {
       this.#parts.metrics.count("engine_reports_missed");
-      this.#book.missed(id, askedAt);
+      this.#registry.recordMiss(id, askedAt);
       return;
     }
     const now = this.#parts.clock.now();
-    this.#book.reported(id, report.value, { askedAt, now });
+    this.#registry.recordReport(id, report.value, { askedAt, now });
   }
 
   /** Engines in groups that change or are suspected. */
@@ -155,7 +155,7 @@
     for (const { phase, plan, head } of groups) {
       const isChanging =
         phase === GroupPhase.Forming || phase === GroupPhase.Closing;
-      if (isChanging || this.#suspicions.has(plan.group)) {
+      if (isChanging || this.#suspectedUntil.has(plan.group)) {
         plan.members.forEach((member) => busy.add(member));
       } else if (phase !== GroupPhase.Serving && head !== null) {
         busy.add(head);
@@ -164,10 +164,10 @@
     return busy;
   }
 
-  #endSuspicions(now: MonotonicTime): void {
-    for (const [group, until] of this.#suspicions) {
+  #removeOldSuspicions(now: MonotonicTime): void {
+    for (const [group, until] of this.#suspectedUntil) {
       if (now >= until) {
-        this.#suspicions.delete(group);
+        this.#suspectedUntil.delete(group);
       }
     }
   }
--- a/src/common/replicas/engine_book.ts
+++ b/src/common/replicas/engine_registry.ts
@@ -35,7 +35,7 @@
 const CUT_OFF_SHARE = 0.6;
 
 /** Domains that a zone must have for that: one may go dark by itself. */
-const FEWEST_DOMAINS = 2;
+const MIN_DOMAINS = 2;
 
 /** An engine as seen at one moment. */
 export interface IEngineView {
@@ -47,13 +47,13 @@
   /** When the newest report was asked for. */
   readonly askedAt: MonotonicTime;
   /** When it last answered; when it was first listed before that. */
-  readonly heardAt: MonotonicTime;
+  readonly answeredAt: MonotonicTime;
   readonly isSilent: boolean;
   /**
    * Its whole zone does not answer here, or may not. It may well serve its own
    * zone, so its silence proves nothing.
    */
-  readonly isOutOfReach: boolean;
+  readonly isUnreachable: boolean;
   /** Start of the process that gave the newest report. */
   readonly startedAt: number;
   /** Factor on its times, by its newest report; 1 before the first. */
@@ -65,7 +65,7 @@
   isListed: boolean;
   state: IEngineState | null;
   askedAt: MonotonicTime;
-  heardAt: MonotonicTime;
+  answeredAt: MonotonicTime;
   misses: number;
   /** When the report was asked for whose miss made it silent. */
   silentAt: MonotonicTime;
@@ -74,14 +74,14 @@
 }
 
 /** The engines of one service. */
-export class EngineBook {
+export class EngineRegistry {
   readonly #engines = new Map<InstanceId, IKnownEngine>();
   readonly #forgetAfter: number;
   #cutOff: ReadonlySet<ZoneName> = new Set();
   /** Zones that may be cut off: none of their engines was heard since. */
-  #inQuestion: ReadonlySet<ZoneName> = new Set();
+  #doubtfulZones: ReadonlySet<ZoneName> = new Set();
   /** When the newest answered report of each zone was asked for. */
-  readonly #zoneHeardAt = new Map<ZoneName, MonotonicTime>();
+  readonly #zoneAnsweredAt = new Map<ZoneName, MonotonicTime>();
 
   /** @param forgetAfter - milliseconds after which a gone engine is dropped */
   constructor(forgetAfter: number) {
@@ -89,7 +89,7 @@
   }
 
   /** The platform's list, whole. */
-  listed(targets: readonly IListedTarget[], now: MonotonicTime): void {
+  updateTargets(targets: readonly IListedTarget[], now: MonotonicTime): void {
     const present = new Set<InstanceId>();
     for (const target of targets) {
       present.add(target.id);
@@ -97,16 +97,16 @@
     }
     for (const [id, engine] of this.#engines) {
       engine.isListed = present.has(id);
-      const isOld = now - engine.heardAt > this.#forgetAfter;
+      const isOld = now - engine.answeredAt > this.#forgetAfter;
       if (!engine.isListed && isOld) {
         this.#engines.delete(id);
       }
     }
-    this.#lookAtZones();
-    this.#inQuestion = this.#zonesInQuestion();
+    this.#updateCutOffZones();
+    this.#doubtfulZones = this.#findDoubtfulZones();
   }
 
-  reported(
+  recordReport(
     id: InstanceId,
     report: IEngineReport,
     times: { readonly askedAt: MonotonicTime; readonly now: MonotonicTime },
@@ -119,16 +119,16 @@
     engine.startedAt = report.startedAt;
     engine.pace = report.pace;
     engine.askedAt = times.askedAt;
-    engine.heardAt = times.now;
+    engine.answeredAt = times.now;
     engine.misses = 0;
     const { zone } = engine.target;
-    const zoneHeardAt = this.#zoneHeardAt.get(zone) ?? times.askedAt;
-    this.#zoneHeardAt.set(zone, Math.max(zoneHeardAt, times.askedAt));
-    this.#inQuestion = this.#zonesInQuestion();
+    const zoneHeardAt = this.#zoneAnsweredAt.get(zone) ?? times.askedAt;
+    this.#zoneAnsweredAt.set(zone, Math.max(zoneHeardAt, times.askedAt));
+    this.#doubtfulZones = this.#findDoubtfulZones();
   }
 
   /** A report that was asked for at a time was not answered. */
-  missed(id: InstanceId, askedAt: MonotonicTime): void {
+  recordMiss(id: InstanceId, askedAt: MonotonicTime): void {
     const engine = this.#engines.get(id);
     if (engine === undefined) {
       return;
@@ -137,16 +137,16 @@
     if (engine.misses === MISSES_TO_SILENCE) {
       engine.silentAt = askedAt;
     }
-    this.#inQuestion = this.#zonesInQuestion();
+    this.#doubtfulZones = this.#findDoubtfulZones();
   }
 
   /** Whether an engine should be asked again soon, to tell who is silent. */
-  isInDoubt(id: InstanceId): boolean {
+  needsRecheck(id: InstanceId): boolean {
     const engine = this.#engines.get(id);
     if (engine === undefined || isSilent(engine)) {
       return false;
     }
-    return engine.misses > 0 || this.#inQuestion.has(engine.target.zone);
+    return engine.misses > 0 || this.#doubtfulZones.has(engine.target.zone);
   }
 
   /** Whether so many are silent that this process's link is the likely cause. */
@@ -167,9 +167,9 @@
         isDraining: engine.target.state === ListedState.Draining,
         state: engine.state,
         askedAt: engine.askedAt,
-        heardAt: engine.heardAt,
+        answeredAt: engine.answeredAt,
         isSilent: isSilent(engine),
-        isOutOfReach: isSilent(engine) && !this.#isZoneReached(engine),
+        isUnreachable: isSilent(engine) && !this.#isZoneReachable(engine),
         startedAt: engine.startedAt,
         pace: engine.pace,
       });
@@ -177,8 +177,8 @@
     return views;
   }
 
-  #isZoneReached({ target: { zone } }: IKnownEngine): boolean {
-    return !this.#cutOff.has(zone) && !this.#inQuestion.has(zone);
+  #isZoneReachable({ target: { zone } }: IKnownEngine): boolean {
+    return !this.#cutOff.has(zone) && !this.#doubtfulZones.has(zone);
   }
 
   /**
@@ -186,12 +186,13 @@
    * are yet to be asked. Once all of them are silent, the zone is cut off or
    * its one domain has gone dark.
    */
-  #zonesInQuestion(): ReadonlySet<ZoneName> {
+  #findDoubtfulZones(): ReadonlySet<ZoneName> {
     const unheard = new Set<ZoneName>();
     const unasked = new Set<ZoneName>();
     for (const engine of this.#engines.values()) {
       const { zone } = engine.target;
-      const heardAt = this.#zoneHeardAt.get(zone) ?? Number.NEGATIVE_INFINITY;
+      const heardAt =
+        this.#zoneAnsweredAt.get(zone) ?? Number.NEGATIVE_INFINITY;
       if (isSilent(engine) && heardAt < engine.silentAt) {
         unheard.add(zone);
       } else if (!isSilent(engine) && engine.isListed && engine.state) {
@@ -205,9 +206,9 @@
    * Looks anew at which zones are cut off. The engines of one that is back are
    * given time to answer: their old silence proves nothing.
    */
-  #lookAtZones(): void {
+  #updateCutOffZones(): void {
     const before = this.#cutOff;
-    this.#cutOff = this.#cutOffZones();
+    this.#cutOff = this.#findCutOffZones();
     for (const engine of this.#engines.values()) {
       const { zone } = engine.target;
       if (before.has(zone) && !this.#cutOff.has(zone)) {
@@ -217,7 +218,7 @@
   }
 
   /** Zones of which most engines of each domain fell silent. */
-  #cutOffZones(): ReadonlySet<ZoneName> {
+  #findCutOffZones(): ReadonlySet<ZoneName> {
     const zones = new Map<ZoneName, Map<DomainName, IKnownEngine[]>>();
     for (const engine of this.#engines.values()) {
       if (engine.state !== null) {
@@ -231,7 +232,7 @@
     }
     const cutOff = [...zones].filter(
       ([, domains]) =>
-        domains.size >= FEWEST_DOMAINS &&
+        domains.size >= MIN_DOMAINS &&
         [...domains.values()].every(
           (engines) =>
             engines.filter(isSilent).length >= engines.length * CUT_OFF_SHARE,
@@ -248,7 +249,7 @@
         isListed: true,
         state: null,
         askedAt: Number.NEGATIVE_INFINITY,
-        heardAt: now,
+        answeredAt: now,
         misses: 0,
         silentAt: Number.NEGATIVE_INFINITY,
         startedAt: target.startedAt,
--- a/src/common/replicas/engine_book_test.ts
+++ b/src/common/replicas/engine_registry_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { EngineBook } from "./engine_book.ts";
+import { EngineRegistry } from "./engine_registry.ts";
 import { engineState, listedEngine } from "../../../test/support/engines.ts";
 
 const REPORT = {
@@ -10,26 +10,29 @@
   engine: engineState(),
 };
 
-function bookOf(count: number): { book: EngineBook; ids: readonly string[] } {
+function bookOf(count: number): {
+  book: EngineRegistry;
+  ids: readonly string[];
+} {
   const ids = Array.from({ length: count }, (_, index) => `engine-${index}`);
-  const book = new EngineBook(15_000);
-  book.listed(
+  const book = new EngineRegistry(15_000);
+  book.updateTargets(
     ids.map((id) => listedEngine(id)),
     0,
   );
-  ids.forEach((id) => book.reported(id, REPORT, { askedAt: 0, now: 1 }));
+  ids.forEach((id) => book.recordReport(id, REPORT, { askedAt: 0, now: 1 }));
   return { book, ids };
 }
 
 describe("what is known of the engines", () => {
   it("takes an engine for silent at its second missed report", () => {
     const { book } = bookOf(4);
-    book.missed("engine-0", 1);
+    book.recordMiss("engine-0", 1);
     expect(book.views.get("engine-0")?.isSilent).to.equal(false);
-    expect(book.isInDoubt("engine-0")).to.equal(true);
-    book.missed("engine-0", 2);
+    expect(book.needsRecheck("engine-0")).to.equal(true);
+    book.recordMiss("engine-0", 2);
     expect(book.views.get("engine-0")?.isSilent).to.equal(true);
-    book.reported("engine-0", REPORT, { askedAt: 5, now: 6 });
+    book.recordReport("engine-0", REPORT, { askedAt: 5, now: 6 });
     expect(book.views.get("engine-0")?.isSilent).to.equal(false);
   });
 
@@ -38,8 +41,8 @@
   it("suspects its own link when many fall silent together", () => {
     const { book, ids } = bookOf(10);
     for (const id of ids.slice(0, 5)) {
-      book.missed(id, 1);
-      book.missed(id, 2);
+      book.recordMiss(id, 1);
+      book.recordMiss(id, 2);
     }
     expect(book.isOwnLinkSuspect).to.equal(true);
   });
@@ -47,8 +50,8 @@
   it("does not for one domain of six", () => {
     const { book, ids } = bookOf(12);
     for (const id of ids.slice(0, 2)) {
-      book.missed(id, 1);
-      book.missed(id, 2);
+      book.recordMiss(id, 1);
+      book.recordMiss(id, 2);
     }
     expect(book.isOwnLinkSuspect).to.equal(false);
   });
@@ -57,42 +60,46 @@
   // callers; were they given up, the zone would be without a group when the
   // cut heals.
   it("concludes nothing when a whole zone is silent", () => {
-    const book = new EngineBook(15_000);
+    const book = new EngineRegistry(15_000);
     const engines = ["a", "b", "c", "d", "e", "f"].map((name, index) => {
       const domain = `domain-${index % 2}`;
       const zone = index < 4 ? "cut" : "near";
       const state = engineState({ domain: `${zone}-${domain}` });
       return { ...listedEngine(name, state), zone };
     });
-    book.listed(engines, 0);
+    book.updateTargets(engines, 0);
     function report(id: string, askedAt: number): void {
       const state = engines.find((one) => one.id === id)?.engine;
       const engine = state ?? engineState();
-      book.reported(id, { ...REPORT, engine }, { askedAt, now: askedAt + 1 });
+      book.recordReport(
+        id,
+        { ...REPORT, engine },
+        { askedAt, now: askedAt + 1 },
+      );
     }
     engines.forEach(({ id }) => report(id, 0));
     function miss(...ids: readonly string[]): void {
       ids.forEach((id) => {
-        book.missed(id, 1);
-        book.missed(id, 2);
+        book.recordMiss(id, 1);
+        book.recordMiss(id, 2);
       });
     }
     // One domain of the zone alone may have lost its power: the other one
     // answers.
     miss("a", "c");
     report("b", 2);
-    book.listed(engines, 1);
-    expect(book.views.get("a")?.isOutOfReach).to.equal(false);
+    book.updateTargets(engines, 1);
+    expect(book.views.get("a")?.isUnreachable).to.equal(false);
     miss("b", "d");
-    book.listed(engines, 2);
-    expect(book.views.get("a")?.isOutOfReach).to.equal(true);
-    expect(book.views.get("e")?.isOutOfReach).to.equal(false);
+    book.updateTargets(engines, 2);
+    expect(book.views.get("a")?.isUnreachable).to.equal(true);
+    expect(book.views.get("e")?.isUnreachable).to.equal(false);
     // The cut heals and the first engines answer. The others have not been
     // asked since; taken for dead now, their groups' members would be joined
     // elsewhere while their heads are open.
     report("a", 3);
     report("b", 3);
-    book.listed(engines, 5);
+    book.updateTargets(engines, 5);
     expect(book.views.get("c")?.isSilent).to.equal(false);
     expect(book.views.get("d")?.isSilent).to.equal(false);
   });
@@ -103,18 +110,18 @@
   it("asks the rest of a zone before it believes in a silence", () => {
     const { book } = bookOf(10);
     ["engine-0", "engine-1"].forEach((id) => {
-      book.missed(id, 10);
-      book.missed(id, 20);
+      book.recordMiss(id, 10);
+      book.recordMiss(id, 20);
     });
-    expect(book.views.get("engine-0")?.isOutOfReach).to.equal(true);
-    expect(book.isInDoubt("engine-2")).to.equal(true);
-    expect(book.isInDoubt("engine-0")).to.equal(false);
+    expect(book.views.get("engine-0")?.isUnreachable).to.equal(true);
+    expect(book.needsRecheck("engine-2")).to.equal(true);
+    expect(book.needsRecheck("engine-0")).to.equal(false);
     // An answer to what was asked before the silence proves nothing.
-    book.reported("engine-2", REPORT, { askedAt: 15, now: 21 });
-    expect(book.views.get("engine-0")?.isOutOfReach).to.equal(true);
-    book.reported("engine-2", REPORT, { askedAt: 22, now: 23 });
-    expect(book.views.get("engine-0")?.isOutOfReach).to.equal(false);
-    expect(book.isInDoubt("engine-2")).to.equal(false);
+    book.recordReport("engine-2", REPORT, { askedAt: 15, now: 21 });
+    expect(book.views.get("engine-0")?.isUnreachable).to.equal(true);
+    book.recordReport("engine-2", REPORT, { askedAt: 22, now: 23 });
+    expect(book.views.get("engine-0")?.isUnreachable).to.equal(false);
+    expect(book.needsRecheck("engine-2")).to.equal(false);
   });
 
   // The only domain of a zone goes dark. Nothing of the zone will ever answer,
@@ -122,17 +129,17 @@
   it("believes in the silence of a zone of which nothing is left", () => {
     const { book, ids } = bookOf(3);
     ids.forEach((id) => {
-      book.missed(id, 10);
-      book.missed(id, 20);
+      book.recordMiss(id, 10);
+      book.recordMiss(id, 20);
     });
-    expect(book.views.get("engine-0")?.isOutOfReach).to.equal(false);
+    expect(book.views.get("engine-0")?.isUnreachable).to.equal(false);
   });
 
   it("does not let an older report replace a newer one", () => {
     const { book } = bookOf(1);
     const newer = { ...REPORT, engine: engineState({ model: "large" }) };
-    book.reported("engine-0", newer, { askedAt: 10, now: 12 });
-    book.reported("engine-0", REPORT, { askedAt: 5, now: 15 });
+    book.recordReport("engine-0", newer, { askedAt: 10, now: 12 });
+    book.recordReport("engine-0", REPORT, { askedAt: 5, now: 15 });
     expect(book.views.get("engine-0")?.state?.model).to.equal("large");
   });
 });
--- a/src/common/replicas/exchange.ts
+++ b/src/common/replicas/exchange.ts
@@ -4,20 +4,20 @@
  * that must be unique rests on them.
  */
 import type { Result } from "ts-results-es";
-import type { IModelWork } from "../calls/model_calls.ts";
+import type { IModelDemand } from "../calls/model_calls.ts";
 import type { IServingGroup } from "../calls/serving_groups.ts";
-import type { IStoreVersions, IStoreWord } from "../relay/types.ts";
+import type { IStoreVersions, IStoreUpdate } from "../relay/types.ts";
 import type { ICallFailure } from "../types.ts";
 
 /** A process's word to the holder. */
-export interface IProcessWord {
+export interface IProcessReport {
   readonly process: string;
   /** Whether it has had a call since its start. */
   readonly hasCalls: boolean;
   /** Its requests in each group. */
   readonly inFlight: Readonly<Record<string, number>>;
   /** What its calls ask of each model. */
-  readonly work: readonly IModelWork[];
+  readonly work: readonly IModelDemand[];
   /** The newest table it has; 0 for none. */
   readonly tableVersion: number;
   /** Groups that it found standing still. */
@@ -27,7 +27,7 @@
 }
 
 /** The holder's word to a process. */
-export interface IHolderWord {
+export interface IHolderReply {
   readonly tableVersion: number;
   /** Null where the process has this version already. */
   readonly groups: readonly IServingGroup[] | null;
@@ -46,26 +46,26 @@
    * What the store told it; null before all is known. Left out by a process of
    * an older build, while one after the other is replaced.
    */
-  readonly store?: IStoreWord | null;
+  readonly store?: IStoreUpdate | null;
 }
 
 /** The answer of a process that does not hold the lease. */
-export interface IOtherWord {
+export interface INotHolderReply {
   /** The process that answers at the address now. */
   readonly process: string;
 }
 
 /** What an exchange brought: a holder's word, or who answers instead. */
 export type ExchangeAnswer =
-  | { readonly isHolder: true; readonly word: IHolderWord }
-  | { readonly isHolder: false; readonly other: IOtherWord };
+  | { readonly isHolder: true; readonly word: IHolderReply }
+  | { readonly isHolder: false; readonly other: INotHolderReply };
 
 /** Asks the holder. */
 export interface IHolderLink {
   /** @param timeout - milliseconds */
   exchange(
     address: string,
-    word: IProcessWord,
+    report: IProcessReport,
     timeout: number,
   ): Promise<Result<ExchangeAnswer, ICallFailure>>;
 }
--- a/src/common/replicas/holder_listener.ts
+++ b/src/common/replicas/exchange_client.ts
@@ -6,10 +6,10 @@
  * list, a second or more later, and of the others' requests never.
  */
 import type { IServingGroup } from "../calls/serving_groups.ts";
-import type { IStoreWord } from "../relay/types.ts";
+import type { IStoreUpdate } from "../relay/types.ts";
 import type { IClock, ILog } from "../services/services.ts";
 import type { MonotonicTime } from "../types.ts";
-import type { IHolderLink, IHolderWord, IProcessWord } from "./exchange.ts";
+import type { IHolderLink, IHolderReply, IProcessReport } from "./exchange.ts";
 
 /** The holder answers at the latest by then where nothing changes. */
 export const EXCHANGE_WAIT = 200;
@@ -18,7 +18,7 @@
 const EXCHANGE_GRACE = 400;
 
 /** Shortest time between two exchanges, milliseconds. */
-const SHORTEST_PAUSE = 30;
+const MIN_PAUSE = 30;
 
 /** Time between two tries while there is no holder, milliseconds. */
 const RETRY_PAUSE = 150;
@@ -30,15 +30,15 @@
 const TABLE_LIFETIME = 1_500;
 
 /** What the listener needs. */
-export interface IHolderListenerParts {
+export interface IExchangeClientParts {
   readonly link: IHolderLink;
   readonly clock: IClock;
   readonly log: ILog;
   /** Where the holder is reached; null where there is none, or it is here. */
   readonly holderAddress: () => string | null;
-  readonly word: (tableVersion: number) => IProcessWord;
-  readonly onHeard: () => void;
-  readonly onStoreWord: (word: IStoreWord) => void;
+  readonly report: (tableVersion: number) => IProcessReport;
+  readonly onReply: () => void;
+  readonly onStoreUpdate: (word: IStoreUpdate) => void;
   /** Another process answers at the holder's address. */
   readonly onOtherProcess: (process: string) => void;
 }
@@ -47,28 +47,28 @@
 export interface IHolderTable {
   readonly groups: readonly IServingGroup[];
   /** Groups that were given up of late. */
-  readonly givenUp: readonly string[];
+  readonly abandonedGroups: readonly string[];
   /** Requests in each group that the others have sent. */
-  readonly others: ReadonlyMap<string, number>;
+  readonly othersInFlight: ReadonlyMap<string, number>;
   /** Processes heard of, the holder included. */
   readonly processes: number;
 }
 
 /** Hears from the holder. */
-export class HolderListener {
-  readonly #parts: IHolderListenerParts;
+export class ExchangeClient {
+  readonly #parts: IExchangeClientParts;
   #groups: readonly IServingGroup[] = [];
-  #givenUp: readonly string[] = [];
-  #others: ReadonlyMap<string, number> = new Map();
+  #abandonedGroups: readonly string[] = [];
+  #othersInFlight: ReadonlyMap<string, number> = new Map();
   #processes = 1;
   #version = 0;
   #address: string | null = null;
-  #heardAt: MonotonicTime = Number.NEGATIVE_INFINITY;
+  #repliedAt: MonotonicTime = Number.NEGATIVE_INFINITY;
   #hasAnswered = false;
   #isInDoubt = false;
   #isStopped = false;
 
-  constructor(parts: IHolderListenerParts) {
+  constructor(parts: IExchangeClientParts) {
     this.#parts = parts;
   }
 
@@ -87,11 +87,11 @@
 
   /** Milliseconds since the holder was last heard. */
   get age(): number {
-    return this.#parts.clock.now() - this.#heardAt;
+    return this.#parts.clock.now() - this.#repliedAt;
   }
 
   /** Whether the holder answered the last exchange and can give orders. */
-  get isHolderSound(): boolean {
+  get isHolderHealthy(): boolean {
     return this.#hasAnswered && !this.#isInDoubt;
   }
 
@@ -100,12 +100,12 @@
   }
 
   /** Groups that the holder has given up of late. */
-  get givenUp(): readonly string[] {
-    return this.#givenUp;
+  get abandonedGroups(): readonly string[] {
+    return this.#abandonedGroups;
   }
 
-  get others(): ReadonlyMap<string, number> {
-    return this.#others;
+  get othersInFlight(): ReadonlyMap<string, number> {
+    return this.#othersInFlight;
   }
 
   /** Processes that the holder hears of. */
@@ -117,12 +117,12 @@
    * Goes by this process's own last table until another holder is heard: what
    * the holder before it told is out of date.
    */
-  leaveOffice(table: IHolderTable): void {
-    this.#heardAt = this.#parts.clock.now();
+  useTable(table: IHolderTable): void {
+    this.#repliedAt = this.#parts.clock.now();
     this.#address = null;
     this.#groups = table.groups;
-    this.#givenUp = table.givenUp;
-    this.#others = table.others;
+    this.#abandonedGroups = table.abandonedGroups;
+    this.#othersInFlight = table.othersInFlight;
     this.#processes = table.processes;
   }
 
@@ -130,19 +130,19 @@
    * Tells the holder at once, beside the exchange that waits: a group found
    * standing still is healed sooner by the wait.
    */
-  urge(): void {
+  reportNow(): void {
     const address = this.#parts.holderAddress();
     if (address !== null) {
-      const word = this.#parts.word(NO_TABLE);
-      void this.#parts.link.exchange(address, word, EXCHANGE_GRACE);
+      const report = this.#parts.report(NO_TABLE);
+      void this.#parts.link.exchange(address, report, EXCHANGE_GRACE);
     }
   }
 
   async #run(): Promise<void> {
     while (!this.#isStopped) {
       const address = this.#parts.holderAddress();
-      const heard = address !== null && (await this.#exchange(address));
-      await this.#wait(heard ? SHORTEST_PAUSE : RETRY_PAUSE);
+      const hasReplied = address !== null && (await this.#exchange(address));
+      await this.#wait(hasReplied ? MIN_PAUSE : RETRY_PAUSE);
     }
   }
 
@@ -151,16 +151,16 @@
       this.#address = address;
       this.#version = 0;
     }
-    const word = this.#parts.word(this.#version);
+    const report = this.#parts.report(this.#version);
     const timeout = EXCHANGE_WAIT + EXCHANGE_GRACE;
-    const answer = await this.#parts.link.exchange(address, word, timeout);
+    const answer = await this.#parts.link.exchange(address, report, timeout);
     if (answer.isErr()) {
-      this.#lost(address, answer.error.detail);
+      this.#handleLost(address, answer.error.detail);
       return false;
     }
     if (!answer.value.isHolder) {
       const { process } = answer.value.other;
-      this.#lost(address, "does not hold the lease");
+      this.#handleLost(address, "does not hold the lease");
       this.#parts.onOtherProcess(process);
       return false;
     }
@@ -168,29 +168,29 @@
       this.#parts.log.info("holder_heard", { address });
     }
     this.#hasAnswered = true;
-    this.#take(answer.value.word);
+    this.#applyReply(answer.value.word);
     return true;
   }
 
-  #lost(address: string, detail: string): void {
+  #handleLost(address: string, detail: string): void {
     if (this.#hasAnswered) {
       this.#parts.log.warn("holder_lost", { address, detail });
     }
     this.#hasAnswered = false;
   }
 
-  #take(word: IHolderWord): void {
-    this.#heardAt = this.#parts.clock.now();
-    this.#version = word.tableVersion;
-    this.#groups = word.groups ?? this.#groups;
-    this.#givenUp = word.givenUp ?? this.#givenUp;
-    this.#others = new Map(Object.entries(word.othersInFlight));
-    this.#isInDoubt = word.isInDoubt;
-    this.#processes = word.processes;
-    if (word.store) {
-      this.#parts.onStoreWord(word.store);
+  #applyReply(reply: IHolderReply): void {
+    this.#repliedAt = this.#parts.clock.now();
+    this.#version = reply.tableVersion;
+    this.#groups = reply.groups ?? this.#groups;
+    this.#abandonedGroups = reply.givenUp ?? this.#abandonedGroups;
+    this.#othersInFlight = new Map(Object.entries(reply.othersInFlight));
+    this.#isInDoubt = reply.isInDoubt;
+    this.#processes = reply.processes;
+    if (reply.store) {
+      this.#parts.onStoreUpdate(reply.store);
     }
-    this.#parts.onHeard();
+    this.#parts.onReply();
   }
 
   #wait(delay: number): Promise<void> {
--- a/src/common/replicas/holder_listener_test.ts
+++ b/src/common/replicas/exchange_client_test.ts
@@ -3,13 +3,17 @@
 import type { Result } from "ts-results-es";
 import { ManualClock } from "../../../test/support/manual_clock.ts";
 import { KeptLog } from "../../../test/support/quiet_services.ts";
-import type { IStoreWord } from "../relay/types.ts";
+import type { IStoreUpdate } from "../relay/types.ts";
 import type { ICallFailure } from "../types.ts";
-import type { ExchangeAnswer, IHolderWord, IProcessWord } from "./exchange.ts";
-import { HolderListener } from "./holder_listener.ts";
+import type {
+  ExchangeAnswer,
+  IHolderReply,
+  IProcessReport,
+} from "./exchange.ts";
+import { ExchangeClient } from "./exchange_client.ts";
 
 /** The word of a holder that was built before it told of the store. */
-const OLD_WORD: IHolderWord = {
+const OLD_WORD: IHolderReply = {
   tableVersion: 1,
   groups: [],
   othersInFlight: {},
@@ -18,7 +22,7 @@
 };
 const KIND = { version: 5, changedVersion: 5, age: 10 };
 
-function processWord(tableVersion: number): IProcessWord {
+function processWord(tableVersion: number): IProcessReport {
   return {
     process: "here",
     hasCalls: false,
@@ -31,24 +35,24 @@
 }
 
 /** Listens to a holder that always says the same; returns what it told. */
-async function heardOf(word: IHolderWord): Promise<{
-  readonly store: readonly IStoreWord[];
+async function heardOf(word: IHolderReply): Promise<{
+  readonly store: readonly IStoreUpdate[];
   readonly isHolderSound: boolean;
 }> {
   const clock = new ManualClock();
-  const store: IStoreWord[] = [];
+  const store: IStoreUpdate[] = [];
   const answer: Result<ExchangeAnswer, ICallFailure> = Ok({
     isHolder: true,
     word,
   });
-  const listener = new HolderListener({
+  const listener = new ExchangeClient({
     link: { exchange: () => Promise.resolve(answer) },
     clock,
     log: new KeptLog(),
     holderAddress: () => "holder:1",
-    word: processWord,
-    onHeard: () => undefined,
-    onStoreWord: (heard) => store.push(heard),
+    report: processWord,
+    onReply: () => undefined,
+    onStoreUpdate: (heard) => store.push(heard),
     onOtherProcess: () => undefined,
   });
   listener.start();
@@ -57,7 +61,7 @@
     await Promise.resolve();
   }
   listener.dispose();
-  return { store, isHolderSound: listener.isHolderSound };
+  return { store, isHolderSound: listener.isHolderHealthy };
 }
 
 describe("hearing from the lease holder", () => {
--- a/src/common/replicas/holder_desk.ts
+++ b/src/common/replicas/exchange_server.ts
@@ -4,40 +4,40 @@
  */
 import type { IServingGroup } from "../calls/serving_groups.ts";
 import { Emitter } from "../emitter.ts";
-import type { IStoreVersions, IStoreWord } from "../relay/types.ts";
+import type { IStoreVersions, IStoreUpdate } from "../relay/types.ts";
 import type { IClock } from "../services/services.ts";
-import { EXCHANGE_WAIT } from "./holder_listener.ts";
-import type { ExchangeAnswer, IProcessWord } from "./exchange.ts";
-import { ProcessWords, sumInFlight } from "./process_words.ts";
+import { EXCHANGE_WAIT } from "./exchange_client.ts";
+import type { ExchangeAnswer, IProcessReport } from "./exchange.ts";
+import { ProcessReports, sumInFlight } from "./process_reports.ts";
 
 /** Versions of the table under one epoch of the lease. */
 const TABLES_PER_EPOCH = 1_000_000;
 
 /** What the desk needs. */
-export interface IHolderDeskParts {
+export interface IExchangeServerParts {
   readonly clock: IClock;
   /** Whether this process holds the lease and knows the groups. */
-  readonly isInOffice: () => boolean;
+  readonly isActiveHolder: () => boolean;
   readonly mayOrder: () => boolean;
   readonly leaseEpoch: () => number;
   /** Groups that some process found standing still. */
-  readonly onSuspects: (groups: readonly string[]) => void;
+  readonly onGroupsSuspected: (groups: readonly string[]) => void;
   /** This process's own word. */
-  readonly ownWord: () => IProcessWord;
+  readonly ownReport: () => IProcessReport;
   /** What the store told, beyond what a process has. */
-  readonly storeWord: (versions: IStoreVersions) => IStoreWord | null;
+  readonly storeUpdate: (versions: IStoreVersions) => IStoreUpdate | null;
 }
 
 /** Answers the other processes. */
-export class HolderDesk {
-  readonly #parts: IHolderDeskParts;
-  readonly #words = new ProcessWords();
+export class ExchangeServer {
+  readonly #parts: IExchangeServerParts;
+  readonly #reports = new ProcessReports();
   readonly #changed = new Emitter<void>();
   #groups: readonly IServingGroup[] = [];
-  #givenUp: readonly string[] = [];
+  #abandonedGroups: readonly string[] = [];
   #changes = 0;
 
-  constructor(parts: IHolderDeskParts) {
+  constructor(parts: IExchangeServerParts) {
     this.#parts = parts;
   }
 
@@ -46,12 +46,12 @@
    *
    * @param givenUp - groups that were given up of late
    */
-  tableChanged(
+  updateTable(
     groups: readonly IServingGroup[],
     givenUp: readonly string[],
   ): void {
     this.#groups = groups;
-    this.#givenUp = givenUp;
+    this.#abandonedGroups = givenUp;
     this.#changes += 1;
     this.#changed.fire();
   }
@@ -60,52 +60,52 @@
     return this.#groups;
   }
 
-  get givenUp(): readonly string[] {
-    return this.#givenUp;
+  get abandonedGroups(): readonly string[] {
+    return this.#abandonedGroups;
   }
 
   /** Words of all processes, this one's included. */
-  get words(): readonly IProcessWord[] {
+  get reports(): readonly IProcessReport[] {
     const now = this.#parts.clock.now();
-    return [...this.#words.fresh(now), this.#parts.ownWord()];
+    return [...this.#reports.recent(now), this.#parts.ownReport()];
   }
 
   /** Requests in each group that the others have sent. */
-  get others(): ReadonlyMap<string, number> {
-    return sumInFlight(this.#words.fresh(this.#parts.clock.now()));
+  get othersInFlight(): ReadonlyMap<string, number> {
+    return sumInFlight(this.#reports.recent(this.#parts.clock.now()));
   }
 
-  async answer(word: IProcessWord): Promise<ExchangeAnswer> {
-    if (!this.#parts.isInOffice()) {
-      return this.#otherWord();
+  async answer(report: IProcessReport): Promise<ExchangeAnswer> {
+    if (!this.#parts.isActiveHolder()) {
+      return this.#notHolder();
     }
-    this.#words.heard(word, this.#parts.clock.now());
-    this.#parts.onSuspects(word.suspects);
-    if (word.tableVersion === this.#version) {
-      await this.#changeOrWait();
+    this.#reports.record(report, this.#parts.clock.now());
+    this.#parts.onGroupsSuspected(report.suspects);
+    if (report.tableVersion === this.#version) {
+      await this.#waitForChange();
     }
-    if (!this.#parts.isInOffice()) {
-      return this.#otherWord();
+    if (!this.#parts.isActiveHolder()) {
+      return this.#notHolder();
     }
-    const words = this.words;
-    const others = words.filter(({ process }) => process !== word.process);
-    const hasTable = word.tableVersion === this.#version;
+    const reports = this.reports;
+    const others = reports.filter(({ process }) => process !== report.process);
+    const hasTable = report.tableVersion === this.#version;
     return {
       isHolder: true,
       word: {
         tableVersion: this.#version,
         groups: hasTable ? null : this.#groups,
-        givenUp: hasTable ? null : this.#givenUp,
+        givenUp: hasTable ? null : this.#abandonedGroups,
         othersInFlight: Object.fromEntries(sumInFlight(others)),
         isInDoubt: !this.#parts.mayOrder(),
-        processes: words.length,
-        store: this.#parts.storeWord(word.versions),
+        processes: reports.length,
+        store: this.#parts.storeUpdate(report.versions),
       },
     };
   }
 
-  #otherWord(): ExchangeAnswer {
-    const { process } = this.#parts.ownWord();
+  #notHolder(): ExchangeAnswer {
+    const { process } = this.#parts.ownReport();
     return { isHolder: false, other: { process } };
   }
 
@@ -113,7 +113,7 @@
     return this.#parts.leaseEpoch() * TABLES_PER_EPOCH + this.#changes;
   }
 
-  #changeOrWait(): Promise<void> {
+  #waitForChange(): Promise<void> {
     return new Promise((resolve) => {
       const listener = this.#changed.event(() => done());
       const timer = this.#parts.clock.after(EXCHANGE_WAIT, () => done());
--- a/src/common/replicas/group_adoption.ts
+++ b/src/common/replicas/group_adoption.ts
@@ -8,7 +8,7 @@
 import { MemberState } from "../calls/types.ts";
 import type { IMembership, IModel } from "../calls/types.ts";
 import type { MonotonicTime } from "../types.ts";
-import type { IEngineView } from "./engine_book.ts";
+import type { IEngineView } from "./engine_registry.ts";
 import type { IGroupPlan } from "./types.ts";
 
 /**
@@ -18,12 +18,12 @@
 const COMPLETION_TIME = 1_200;
 
 /** A group as its members report it. */
-export interface IFoundGroup {
+export interface IDiscoveredGroup {
   readonly plan: IGroupPlan;
   /** In order of rank. */
   readonly members: readonly IEngineView[];
   /** Whether all members of the model's size were heard. */
-  readonly isWhole: boolean;
+  readonly isComplete: boolean;
   readonly hasHead: boolean;
   /** Whether its head takes requests. */
   readonly isOpen: boolean;
@@ -39,13 +39,13 @@
 
 /** Remembers which incomplete groups are waited for. */
 export class GroupAdoption {
-  readonly #model: (name: string) => IModel | null;
+  readonly #findModel: (name: string) => IModel | null;
   readonly #known: IKnownGroups;
   /** Since when members of groups that lack others were heard of. */
   readonly #incompleteSince = new Map<string, MonotonicTime>();
 
   constructor(model: (name: string) => IModel | null, known: IKnownGroups) {
-    this.#model = model;
+    this.#findModel = model;
     this.#known = known;
   }
 
@@ -54,10 +54,10 @@
   }
 
   /** The groups to be taken over now. */
-  find(
+  findAdoptable(
     views: ReadonlyMap<string, IEngineView>,
     now: MonotonicTime,
-  ): readonly IFoundGroup[] {
+  ): readonly IDiscoveredGroup[] {
     const reported = new Map<string, IEngineView[]>();
     for (const view of views.values()) {
       const membership = view.state?.membership ?? null;
@@ -68,13 +68,15 @@
     }
     const isUnheard = [...views.values()].some(mayBeHeardOf);
     return [...reported.values()]
-      .flatMap((members) => this.#foundGroup(members))
+      .flatMap((members) => this.#discoveredGroup(members))
       .filter(
-        (found) => found.isWhole || !this.#isAwaited(found, isUnheard, now),
+        (found) => found.isComplete || !this.#isAwaited(found, isUnheard, now),
       );
   }
 
-  #foundGroup(members: readonly IEngineView[]): readonly IFoundGroup[] {
+  #discoveredGroup(
+    members: readonly IEngineView[],
+  ): readonly IDiscoveredGroup[] {
     const sorted = [...members].sort((one, other) => rank(one) - rank(other));
     const [first] = sorted;
     const membership = first?.state?.membership;
@@ -89,13 +91,13 @@
       members: sorted.map(({ target }) => target.id),
     };
     const isWhole =
-      sorted.length === (this.#model(model)?.size ?? 0) &&
+      sorted.length === (this.#findModel(model)?.size ?? 0) &&
       sorted.every((view, index) => rank(view) === index);
     return [
       {
         plan,
         members: sorted,
-        isWhole,
+        isComplete: isWhole,
         hasHead: rank(first) === 0,
         isOpen: membership.state === MemberState.Open,
       },
@@ -104,7 +106,7 @@
 
   /** Whether the members that an incomplete group lacks may yet be heard of. */
   #isAwaited(
-    { plan }: IFoundGroup,
+    { plan }: IDiscoveredGroup,
     isUnheard: boolean,
     now: MonotonicTime,
   ): boolean {
@@ -122,7 +124,7 @@
 /** One that is silent while its zone answers has ended. */
 function mayBeHeardOf(view: IEngineView): boolean {
   const isUnasked = view.state === null && !view.isSilent;
-  return view.isListed && (view.isOutOfReach || isUnasked);
+  return view.isListed && (view.isUnreachable || isUnasked);
 }
 
 function rank(view: IEngineView): number {
--- a/src/common/replicas/group_keeper.ts
+++ b/src/common/replicas/group_controller.ts
@@ -12,9 +12,9 @@
 import { MemberState } from "../calls/types.ts";
 import type { IMembership, IModel } from "../calls/types.ts";
 import type { InstanceId, MonotonicTime } from "../types.ts";
-import type { IEngineView } from "./engine_book.ts";
+import type { IEngineView } from "./engine_registry.ts";
 import { GroupAdoption } from "./group_adoption.ts";
-import type { IFoundGroup } from "./group_adoption.ts";
+import type { IDiscoveredGroup } from "./group_adoption.ts";
 import {
   GroupPhase,
   GroupTrouble,
@@ -27,7 +27,7 @@
 import type { EngineOrder, IGroupPlan } from "./types.ts";
 
 /** Longest time a head that closes is given for what it runs, milliseconds. */
-const LONGEST_CLOSING = 2_500;
+const MAX_CLOSING_TIME = 2_500;
 
 /**
  * A group that is not complete by then is given up, as a multiple of the
@@ -39,7 +39,7 @@
 const STALL_MARGIN = 1_000;
 
 /** Times of the platform's engines, milliseconds. */
-export interface IGroupTimes {
+export interface IGroupTiming {
   /** After it a head without one of its members breaks. */
   readonly stallTime: number;
   /** By how much reports describe the past; asked for at each look. */
@@ -49,10 +49,10 @@
 }
 
 /** How long the others are told that a group was given up, milliseconds. */
-const GIVEN_UP_TOLD = 10_000;
+const ABANDONED_REPORT_TIME = 10_000;
 
 /** Reports may be somewhat older than their usual lag, milliseconds. */
-export const LAG_MARGIN = 100;
+export const REPORT_LAG_MARGIN = 100;
 
 /** Engines by id. */
 export type EngineViews = ReadonlyMap<InstanceId, IEngineView>;
@@ -84,24 +84,24 @@
 }
 
 /** The groups of one service. */
-export class GroupKeeper {
+export class GroupController {
   readonly #groups = new Map<string, IReplicaGroup>();
   readonly #adoption: GroupAdoption;
-  readonly #times: IGroupTimes;
-  readonly #model: (name: string) => IModel | null;
+  readonly #times: IGroupTiming;
+  readonly #findModel: (name: string) => IModel | null;
   #changes: IGroupChange[] = [];
   /**
    * Groups whose head is known to serve no more. Their other members go on
    * reporting them until they join another one.
    */
-  readonly #released = new Map<string, MonotonicTime>();
+  readonly #releasedAt = new Map<string, MonotonicTime>();
 
-  constructor(times: IGroupTimes, model: (name: string) => IModel | null) {
+  constructor(times: IGroupTiming, model: (name: string) => IModel | null) {
     this.#times = times;
-    this.#model = model;
+    this.#findModel = model;
     this.#adoption = new GroupAdoption(model, {
       isKnown: (membership, askedAt) => this.#isKnown(membership, askedAt),
-      isReleased: (name) => this.#released.has(name),
+      isReleased: (name) => this.#releasedAt.has(name),
     });
   }
 
@@ -113,14 +113,14 @@
    * Groups that do not serve again. One that was adopted in part may, until its
    * head has left it: its other members may yet be heard of.
    */
-  givenUp(now: MonotonicTime): readonly string[] {
+  abandonedGroups(now: MonotonicTime): readonly string[] {
     const dissolving = this.groups.filter(
       ({ phase, trouble, hasLeft }) =>
         phase === GroupPhase.Dissolving &&
         (hasLeft || trouble !== GroupTrouble.Incomplete),
     );
-    const released = [...this.#released].filter(
-      ([, releasedAt]) => now - releasedAt < GIVEN_UP_TOLD,
+    const released = [...this.#releasedAt].filter(
+      ([, releasedAt]) => now - releasedAt < ABANDONED_REPORT_TIME,
     );
     return [
       ...dissolving.map(({ plan }) => plan.group),
@@ -138,17 +138,19 @@
   /** Forgets everything, since another holder may have acted. */
   clear(): void {
     this.#groups.clear();
-    this.#released.clear();
+    this.#releasedAt.clear();
     this.#adoption.clear();
   }
 
   /** A new group; its members are ordered to join by the next look. */
   form(plan: IGroupPlan, views: EngineViews, now: MonotonicTime): void {
-    this.#add(this.#groupOf(plan, views, { phase: GroupPhase.Forming, now }));
+    this.#add(
+      this.#createGroup(plan, views, { phase: GroupPhase.Forming, now }),
+    );
   }
 
   /** A member has accepted the order to join. */
-  joined(name: string, member: InstanceId, now: MonotonicTime): void {
+  handleJoined(name: string, member: InstanceId, now: MonotonicTime): void {
     this.#groups.get(name)?.joined.set(member, now);
   }
 
@@ -156,13 +158,13 @@
   close(name: string, now: MonotonicTime): void {
     const group = this.#groups.get(name);
     if (group?.phase === GroupPhase.Serving) {
-      group.trouble = GroupTrouble.TurnedOver;
-      this.#enter(group, GroupPhase.Closing, now);
+      group.trouble = GroupTrouble.Reassigned;
+      this.#setPhase(group, GroupPhase.Closing, now);
     }
   }
 
   /** A serving group is given up at once, so that a better one is formed. */
-  giveUp(name: string, trouble: GroupTrouble, now: MonotonicTime): void {
+  abandon(name: string, trouble: GroupTrouble, now: MonotonicTime): void {
     const group = this.#groups.get(name);
     if (group?.phase === GroupPhase.Serving) {
       this.#dissolve(group, trouble, now);
@@ -170,7 +172,7 @@
   }
 
   /** The head has taken the order to open, and serves after the open time. */
-  opened(name: string, now: MonotonicTime): void {
+  handleOpened(name: string, now: MonotonicTime): void {
     const group = this.#groups.get(name);
     if (group !== undefined) {
       group.openedAt ??= now;
@@ -178,7 +180,7 @@
   }
 
   /** The head has taken the order to leave, which acts at once. */
-  left(name: string): void {
+  handleLeft(name: string): void {
     const group = this.#groups.get(name);
     if (group?.phase === GroupPhase.Dissolving) {
       group.hasLeft = true;
@@ -186,7 +188,7 @@
   }
 
   /** A member refused an order: the group cannot become whole. */
-  refused(name: string, now: MonotonicTime): void {
+  handleRefused(name: string, now: MonotonicTime): void {
     const group = this.#groups.get(name);
     if (group?.phase === GroupPhase.Forming) {
       this.#dissolve(group, GroupTrouble.OrderRefused, now);
@@ -194,18 +196,21 @@
   }
 
   /** Looks at all groups and returns the orders that are due. */
-  look(views: EngineViews, now: MonotonicTime): readonly IAddressedOrder[] {
+  reconcile(
+    views: EngineViews,
+    now: MonotonicTime,
+  ): readonly IAddressedOrder[] {
     this.#adopt(views, now);
     const orders: IAddressedOrder[] = [];
     for (const group of this.#groups.values()) {
-      this.#judge(group, views, now);
+      this.#updatePhase(group, views, now);
       orders.push(...this.#ordersFor(group, views));
     }
     return orders;
   }
 
   /** Engines that are in no group and may be joined to one. */
-  free(views: EngineViews): readonly IEngineView[] {
+  freeEngines(views: EngineViews): readonly IEngineView[] {
     const taken = new Set<InstanceId>();
     for (const { plan } of this.#groups.values()) {
       plan.members.forEach((member) => taken.add(member));
@@ -217,12 +222,12 @@
         !view.isSilent &&
         view.state !== null &&
         !taken.has(view.target.id) &&
-        this.#isLoose(view),
+        this.#isUnassigned(view),
     );
   }
 
   /** Whether an engine's own word ties it to no group that may be open. */
-  #isLoose({ state, askedAt }: IEngineView): boolean {
+  #isUnassigned({ state, askedAt }: IEngineView): boolean {
     const membership = state?.membership ?? null;
     if (membership === null) {
       return true;
@@ -231,11 +236,15 @@
     return !isKept && this.#isKnown(membership, askedAt);
   }
 
-  #judge(group: IReplicaGroup, views: EngineViews, now: MonotonicTime): void {
+  #updatePhase(
+    group: IReplicaGroup,
+    views: EngineViews,
+    now: MonotonicTime,
+  ): void {
     if (group.phase === GroupPhase.Dissolving) {
-      if (this.#isReleased(group, views, now)) {
+      if (this.#isHeadReleased(group, views, now)) {
         this.#groups.delete(group.plan.group);
-        this.#released.set(group.plan.group, now);
+        this.#releasedAt.set(group.plan.group, now);
         this.#changes.push({ group, from: group.phase, to: null });
       }
       return;
@@ -245,20 +254,20 @@
       group.phase === GroupPhase.Serving || group.phase === GroupPhase.Closing;
     if (trouble === GroupTrouble.MemberDraining && isServing) {
       group.trouble = trouble;
-      this.#enter(group, GroupPhase.Closing, now);
-      this.#endClosing(group, views, now);
+      this.#setPhase(group, GroupPhase.Closing, now);
+      this.#updateClosing(group, views, now);
     } else if (trouble !== null) {
       this.#dissolve(group, trouble, now);
     } else if (group.phase === GroupPhase.Closing) {
-      this.#endClosing(group, views, now);
+      this.#updateClosing(group, views, now);
     } else if (group.phase === GroupPhase.Forming) {
-      this.#judgeForming(group, views, now);
+      this.#updateForming(group, views, now);
     } else if (group.phase === GroupPhase.Opening) {
-      this.#judgeOpening(group, views, now);
+      this.#updateOpening(group, views, now);
     }
   }
 
-  #judgeOpening(
+  #updateOpening(
     group: IReplicaGroup,
     views: EngineViews,
     now: MonotonicTime,
@@ -269,34 +278,34 @@
     const openTime = this.#times.openTime();
     const isDue = group.openedAt !== null && now - group.openedAt >= openTime;
     if (isOpen || isDue) {
-      this.#enter(group, GroupPhase.Serving, now);
+      this.#setPhase(group, GroupPhase.Serving, now);
     }
   }
 
-  #judgeForming(
+  #updateForming(
     group: IReplicaGroup,
     views: EngineViews,
     now: MonotonicTime,
   ): void {
     const { members, model } = group.plan;
     if (members.every((member) => isReady(group, member, views.get(member)))) {
-      this.#enter(group, GroupPhase.Opening, now);
+      this.#setPhase(group, GroupPhase.Opening, now);
       return;
     }
-    const loadTime = this.#model(model)?.loadTime ?? 0;
+    const loadTime = this.#findModel(model)?.loadTime ?? 0;
     if (now - group.phaseSince > loadTime * FORMING_FACTOR) {
       this.#dissolve(group, GroupTrouble.TooSlow, now);
     }
   }
 
-  #endClosing(
+  #updateClosing(
     group: IReplicaGroup,
     views: EngineViews,
     now: MonotonicTime,
   ): void {
     const state = membershipIn(group, views.get(group.head ?? ""))?.state;
     const isIdle = state === MemberState.Ready;
-    if (isIdle || now - group.phaseSince > LONGEST_CLOSING) {
+    if (isIdle || now - group.phaseSince > MAX_CLOSING_TIME) {
       const trouble = group.trouble ?? GroupTrouble.MemberDraining;
       this.#dissolve(group, trouble, now);
     }
@@ -306,7 +315,10 @@
     let draining: GroupTrouble | null = null;
     for (const member of group.plan.members) {
       const view = views.get(member);
-      const trouble = troubleOf(group, member, { view, reportLag: this.#lag });
+      const trouble = troubleOf(group, member, {
+        view,
+        reportLag: this.#maxReportLag,
+      });
       if (trouble === GroupTrouble.MemberDraining) {
         draining = trouble;
       } else if (trouble !== null) {
@@ -320,7 +332,7 @@
    * Whether the head takes no requests for this group any more: by its own
    * word, or because it has been silent for so long that it is dead or broken.
    */
-  #isReleased(
+  #isHeadReleased(
     group: IReplicaGroup,
     views: EngineViews,
     now: MonotonicTime,
@@ -334,14 +346,14 @@
       // It may be alive and back in the list in a moment.
       return now - group.phaseSince > bound;
     }
-    const hasReported = head.askedAt > group.phaseSince + this.#lag;
+    const hasReported = head.askedAt > group.phaseSince + this.#maxReportLag;
     if (hasReported) {
       const membership = membershipIn(group, head);
       return membership === null || membership.state === MemberState.Broken;
     }
     // The platform has dropped it after some heartbeats without a sign, and it
     // does not answer here either: it has ended.
-    return !head.isListed && head.isSilent && !head.isOutOfReach;
+    return !head.isListed && head.isSilent && !head.isUnreachable;
   }
 
   #ordersFor(
@@ -371,9 +383,9 @@
 
   /** Takes over groups that engines report and this process knows nothing of. */
   #adopt(views: EngineViews, now: MonotonicTime): void {
-    this.#forgetOutgrown(views);
-    for (const found of this.#adoption.find(views, now)) {
-      this.#take(found, views, now);
+    this.#removeOutgrown(views);
+    for (const found of this.#adoption.findAdoptable(views, now)) {
+      this.#adoptGroup(found, views, now);
     }
   }
 
@@ -381,7 +393,7 @@
    * Drops what was adopted in part when another member is heard of, so that
    * the group is adopted anew with it: the last one heard may be its open head.
    */
-  #forgetOutgrown(views: EngineViews): void {
+  #removeOutgrown(views: EngineViews): void {
     for (const { target, state } of views.values()) {
       const group = this.#groups.get(state?.membership?.group ?? "");
       const isOutgrown =
@@ -395,8 +407,8 @@
     }
   }
 
-  get #lag(): number {
-    return this.#times.reportLag() + LAG_MARGIN;
+  get #maxReportLag(): number {
+    return this.#times.reportLag() + REPORT_LAG_MARGIN;
   }
 
   /**
@@ -406,25 +418,30 @@
    */
   #isKnown({ group, state }: IMembership, askedAt: MonotonicTime): boolean {
     const isOpen = state === MemberState.Open || state === MemberState.Closing;
-    const releasedAt = this.#released.get(group);
-    const isOld = releasedAt !== undefined && askedAt <= releasedAt + this.#lag;
+    const releasedAt = this.#releasedAt.get(group);
+    const isOld =
+      releasedAt !== undefined && askedAt <= releasedAt + this.#maxReportLag;
     const isIdle = releasedAt !== undefined || isWarmGroup(group);
     return this.#groups.has(group) || (isIdle && !isOpen) || isOld;
   }
 
-  #take(found: IFoundGroup, views: EngineViews, now: MonotonicTime): void {
-    const { plan, members, isWhole, hasHead, isOpen } = found;
+  #adoptGroup(
+    found: IDiscoveredGroup,
+    views: EngineViews,
+    now: MonotonicTime,
+  ): void {
+    const { plan, members, isComplete, hasHead, isOpen } = found;
     const phase =
-      isWhole && isOpen ? GroupPhase.Serving : GroupPhase.Dissolving;
-    const group = this.#groupOf(plan, views, { phase, now });
+      isComplete && isOpen ? GroupPhase.Serving : GroupPhase.Dissolving;
+    const group = this.#createGroup(plan, views, { phase, now });
     for (const view of members) {
       group.joined.set(view.target.id, view.askedAt);
     }
-    group.trouble = isWhole ? null : GroupTrouble.Incomplete;
+    group.trouble = isComplete ? null : GroupTrouble.Incomplete;
     this.#add(hasHead ? group : { ...group, head: null });
   }
 
-  #groupOf(
+  #createGroup(
     plan: IGroupPlan,
     views: EngineViews,
     state: { readonly phase: GroupPhase; readonly now: MonotonicTime },
@@ -459,10 +476,10 @@
     now: MonotonicTime,
   ): void {
     group.trouble = trouble;
-    this.#enter(group, GroupPhase.Dissolving, now);
+    this.#setPhase(group, GroupPhase.Dissolving, now);
   }
 
-  #enter(group: IReplicaGroup, phase: GroupPhase, now: MonotonicTime): void {
+  #setPhase(group: IReplicaGroup, phase: GroupPhase, now: MonotonicTime): void {
     if (group.phase !== phase) {
       this.#changes.push({ group, from: group.phase, to: phase });
       group.phase = phase;
--- a/src/common/replicas/group_keeper_test.ts
+++ b/src/common/replicas/group_controller_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { MemberState } from "../calls/types.ts";
-import type { IEngineView } from "./engine_book.ts";
-import { GroupKeeper, warmGroupName } from "./group_keeper.ts";
-import type { IAddressedOrder } from "./group_keeper.ts";
+import type { IEngineView } from "./engine_registry.ts";
+import { GroupController, warmGroupName } from "./group_controller.ts";
+import type { IAddressedOrder } from "./group_controller.ts";
 import { GroupPhase } from "./replica_group.ts";
 import {
   engineState,
@@ -22,20 +22,20 @@
 /** Reports describe the time this long before they were asked for. */
 const LAG = 300;
 
-function newKeeper(): GroupKeeper {
+function newKeeper(): GroupController {
   const times = {
     stallTime: 5_000,
     reportLag: () => LAG - 100,
     openTime: () => 300,
   };
-  return new GroupKeeper(times, () => SMALL);
+  return new GroupController(times, () => SMALL);
 }
 
 function kinds(orders: readonly IAddressedOrder[]): readonly string[] {
   return orders.map(({ engine, order }) => `${order.kind} ${engine}`);
 }
 
-function phases(keeper: GroupKeeper): readonly GroupPhase[] {
+function phases(keeper: GroupController): readonly GroupPhase[] {
   return keeper.groups.map(({ phase }) => phase);
 }
 
@@ -52,14 +52,14 @@
 }
 
 /** A keeper whose group serves at 1,000. */
-function serving(): GroupKeeper {
+function serving(): GroupController {
   const keeper = newKeeper();
   const free = viewsOf(engineView("head"), engineView("tail"));
   keeper.form(PLAN, free, 0);
-  keeper.joined(PLAN.group, "head", 10);
-  keeper.joined(PLAN.group, "tail", 10);
-  keeper.look(members(500), 500);
-  keeper.look(members(900, MemberState.Open), 1_000);
+  keeper.handleJoined(PLAN.group, "head", 10);
+  keeper.handleJoined(PLAN.group, "tail", 10);
+  keeper.reconcile(members(500), 500);
+  keeper.reconcile(members(900, MemberState.Open), 1_000);
   return keeper;
 }
 
@@ -71,16 +71,18 @@
     const keeper = newKeeper();
     const free = viewsOf(engineView("head"), engineView("tail"));
     keeper.form(PLAN, free, 0);
-    expect(kinds(keeper.look(free, 0))).to.deep.equal([
+    expect(kinds(keeper.reconcile(free, 0))).to.deep.equal([
       "join head",
       "join tail",
     ]);
-    keeper.joined(PLAN.group, "head", 10);
-    keeper.joined(PLAN.group, "tail", 10);
+    keeper.handleJoined(PLAN.group, "head", 10);
+    keeper.handleJoined(PLAN.group, "tail", 10);
     const joining = { state: memberOf(PLAN, 1, MemberState.Joining) };
     const notYet = members(500, MemberState.Ready, joining);
-    expect(kinds(keeper.look(notYet, 500))).to.deep.equal([]);
-    expect(kinds(keeper.look(members(600), 600))).to.deep.equal(["open head"]);
+    expect(kinds(keeper.reconcile(notYet, 500))).to.deep.equal([]);
+    expect(kinds(keeper.reconcile(members(600), 600))).to.deep.equal([
+      "open head",
+    ]);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Opening]);
   });
 
@@ -91,19 +93,19 @@
     const keeper = newKeeper();
     const free = viewsOf(engineView("head"), engineView("tail"));
     keeper.form(PLAN, free, 0);
-    keeper.joined(PLAN.group, "head", 10);
-    keeper.joined(PLAN.group, "tail", 10);
+    keeper.handleJoined(PLAN.group, "head", 10);
+    keeper.handleJoined(PLAN.group, "tail", 10);
     const early = viewsOf(
       engineView("head", { askedAt: 50 }),
       engineView("tail", { askedAt: 50 }),
     );
-    keeper.look(early, 60);
+    keeper.reconcile(early, 60);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Forming]);
     const late = viewsOf(
       engineView("head", { askedAt: 400 }),
       engineView("tail", { askedAt: 400 }),
     );
-    keeper.look(late, 410);
+    keeper.reconcile(late, 410);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Dissolving]);
   });
 
@@ -117,10 +119,10 @@
       state: memberOf(PLAN, 1),
       ...leaving,
     });
-    keeper.look(views, 1_200);
+    keeper.reconcile(views, 1_200);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Closing]);
     const gone = { state: memberOf(PLAN, 1), isSilent: true, ...leaving };
-    keeper.look(members(1_300, MemberState.Open, gone), 1_400);
+    keeper.reconcile(members(1_300, MemberState.Open, gone), 1_400);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Dissolving]);
   });
 
@@ -130,11 +132,11 @@
     const keeper = serving();
     const lost = { isSilent: true };
     const views = members(1_500, MemberState.Open, lost);
-    expect(kinds(keeper.look(views, 1_500))).to.deep.equal(["leave head"]);
-    expect(keeper.free(views)).to.deep.equal([]);
-    keeper.left(PLAN.group);
-    keeper.look(views, 1_600);
-    const free = keeper.free(views).map(({ target }) => target.id);
+    expect(kinds(keeper.reconcile(views, 1_500))).to.deep.equal(["leave head"]);
+    expect(keeper.freeEngines(views)).to.deep.equal([]);
+    keeper.handleLeft(PLAN.group);
+    keeper.reconcile(views, 1_600);
+    const free = keeper.freeEngines(views).map(({ target }) => target.id);
     expect(free).to.deep.equal(["head"]);
   });
 
@@ -148,10 +150,10 @@
       isSilent: true,
     });
     const tail = engineView("tail", { state: memberOf(PLAN, 1) });
-    keeper.look(viewsOf(silent, tail), 1_500);
-    keeper.look(viewsOf(silent, tail), 9_000);
+    keeper.reconcile(viewsOf(silent, tail), 1_500);
+    keeper.reconcile(viewsOf(silent, tail), 9_000);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Dissolving]);
-    keeper.look(viewsOf({ ...silent, isListed: false }, tail), 9_100);
+    keeper.reconcile(viewsOf({ ...silent, isListed: false }, tail), 9_100);
     expect(keeper.groups).to.deep.equal([]);
   });
 
@@ -160,7 +162,7 @@
   it("adopts the groups that stand", () => {
     const keeper = newKeeper();
     const views = members(100, MemberState.Open);
-    expect(kinds(keeper.look(views, 100))).to.deep.equal([]);
+    expect(kinds(keeper.reconcile(views, 100))).to.deep.equal([]);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Serving]);
   });
 
@@ -168,7 +170,7 @@
     const keeper = newKeeper();
     const state = memberOf(PLAN, 0, MemberState.Open);
     const views = viewsOf(engineView("head", { state, askedAt: 100 }));
-    expect(kinds(keeper.look(views, 100))).to.deep.equal(["leave head"]);
+    expect(kinds(keeper.reconcile(views, 100))).to.deep.equal(["leave head"]);
   });
 
   it("counts an engine that is warmed by itself as free", () => {
@@ -176,9 +178,9 @@
     const group = { group: warmGroupName(9), epoch: 9 };
     const state = memberOf(group, 0);
     const views = viewsOf(engineView("head", { state, askedAt: 100 }));
-    keeper.look(views, 100);
+    keeper.reconcile(views, 100);
     expect(keeper.groups).to.deep.equal([]);
-    expect(keeper.free(views)).to.have.length(1);
+    expect(keeper.freeEngines(views)).to.have.length(1);
   });
 
   // The lease changes hands while a group forms. The new holder sees its head
@@ -188,8 +190,8 @@
     const keeper = newKeeper();
     const state = memberOf(PLAN, 0);
     const views = viewsOf(engineView("head", { state, askedAt: 100 }));
-    expect(kinds(keeper.look(views, 100))).to.deep.equal(["leave head"]);
-    expect(keeper.free(views)).to.deep.equal([]);
+    expect(kinds(keeper.reconcile(views, 100))).to.deep.equal(["leave head"]);
+    expect(keeper.freeEngines(views)).to.deep.equal([]);
   });
 
   // An order to open is carried out seconds late, after the group was given
@@ -197,13 +199,13 @@
   it("takes care again of a released group that opens late", () => {
     const keeper = serving();
     const lost = { isSilent: true };
-    keeper.look(members(1_500, MemberState.Open, lost), 1_500);
-    keeper.left(PLAN.group);
-    keeper.look(members(1_600, MemberState.Ready, lost), 1_600);
+    keeper.reconcile(members(1_500, MemberState.Open, lost), 1_500);
+    keeper.handleLeft(PLAN.group);
+    keeper.reconcile(members(1_600, MemberState.Ready, lost), 1_600);
     expect(keeper.groups).to.deep.equal([]);
     const late = members(3_000, MemberState.Open, lost);
-    expect(kinds(keeper.look(late, 3_000))).to.deep.equal(["leave head"]);
-    expect(keeper.free(late)).to.deep.equal([]);
+    expect(kinds(keeper.reconcile(late, 3_000))).to.deep.equal(["leave head"]);
+    expect(keeper.freeEngines(late)).to.deep.equal([]);
   });
 
   // A zone comes back after a cut, and its engines answer one after the other.
@@ -214,9 +216,9 @@
     const tail = engineView("tail", { state: memberOf(PLAN, 1), askedAt: 100 });
     const unheard = engineView("head", { state: null });
     const alone = viewsOf(tail, unheard);
-    expect(kinds(keeper.look(alone, 100))).to.deep.equal([]);
-    expect(keeper.free(alone)).to.deep.equal([]);
-    keeper.look(members(600, MemberState.Open), 600);
+    expect(kinds(keeper.reconcile(alone, 100))).to.deep.equal([]);
+    expect(keeper.freeEngines(alone)).to.deep.equal([]);
+    keeper.reconcile(members(600, MemberState.Open), 600);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Serving]);
   });
 
@@ -230,7 +232,7 @@
       engineView("head", { state, askedAt: 100 }),
       engineView("tail", { state: null, isSilent: true }),
     );
-    expect(kinds(keeper.look(views, 100))).to.deep.equal(["leave head"]);
+    expect(kinds(keeper.reconcile(views, 100))).to.deep.equal(["leave head"]);
   });
 
   // The same while the member's whole zone is out of reach: it may be well.
@@ -242,17 +244,17 @@
       engineView("head", { state, askedAt: 100 }),
       engineView("tail", lost),
     );
-    expect(kinds(keeper.look(views, 100))).to.deep.equal([]);
+    expect(kinds(keeper.reconcile(views, 100))).to.deep.equal([]);
   });
 
   it("keeps a head from being free that is heard late", () => {
     const keeper = newKeeper();
     const tail = engineView("tail", { state: memberOf(PLAN, 1), askedAt: 100 });
-    keeper.look(viewsOf(tail), 100);
+    keeper.reconcile(viewsOf(tail), 100);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Dissolving]);
     const both = members(600, MemberState.Open);
-    expect(keeper.free(both)).to.deep.equal([]);
-    keeper.look(both, 600);
+    expect(keeper.freeEngines(both)).to.deep.equal([]);
+    keeper.reconcile(both, 600);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Serving]);
   });
 
@@ -261,7 +263,7 @@
   it("gives up a group when a member has started again", () => {
     const keeper = serving();
     const restarted = { state: engineState(), startedAt: 2 };
-    keeper.look(members(1_500, MemberState.Open, restarted), 1_500);
+    keeper.reconcile(members(1_500, MemberState.Open, restarted), 1_500);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Dissolving]);
   });
 
@@ -273,24 +275,24 @@
     const gone = { state, askedAt: 900, isSilent: true, isListed: false };
     const tail = engineView("tail", { state: memberOf(PLAN, 1) });
     const views = viewsOf(engineView("head", gone), tail);
-    keeper.look(views, 5_000);
-    keeper.look(views, 5_050);
+    keeper.reconcile(views, 5_000);
+    keeper.reconcile(views, 5_050);
     expect(keeper.groups).to.deep.equal([]);
     keeper.takeChanges();
-    keeper.look(views, 5_100);
+    keeper.reconcile(views, 5_100);
     expect(keeper.takeChanges()).to.deep.equal([]);
-    const free = keeper.free(views).map(({ target }) => target.id);
+    const free = keeper.freeEngines(views).map(({ target }) => target.id);
     expect(free).to.deep.equal(["tail"]);
   });
 
   it("lets a group finish when a member leaves by plan", () => {
     const keeper = serving();
     const views = members(1_500, MemberState.Open, { isDraining: true });
-    const orders = keeper.look(views, 1_500);
+    const orders = keeper.reconcile(views, 1_500);
     expect(kinds(orders)).to.deep.equal(["close head"]);
     expect(phases(keeper)).to.deep.equal([GroupPhase.Closing]);
     const idle = members(1_900, MemberState.Ready, { isDraining: true });
-    const after = keeper.look(idle, 1_900);
+    const after = keeper.reconcile(idle, 1_900);
     expect(after.map(({ order }) => order.kind)).to.deep.equal([
       OrderKind.Leave,
     ]);
--- a/src/common/replicas/turn_over.ts
+++ b/src/common/replicas/group_reassignment.ts
@@ -12,29 +12,29 @@
  */
 import type { IModel } from "../calls/types.ts";
 import type { DomainName } from "../types.ts";
-import { isFit } from "./holding_engine.ts";
-import type { IHoldingEngine, IStandingGroup } from "./holding_engine.ts";
+import { canJoinWithoutLoad } from "./model_readiness.ts";
+import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
 
 /** By how much of a group a model may fall below its ideal number for it. */
 const TOLERATED_LACK = 0.5;
 
 /** What stands, for the decision. */
-export interface ITurnOverSituation {
+export interface IReassignmentInput {
   /** The model that lacks groups. */
-  readonly short: IModel;
-  readonly standing: readonly IStandingGroup[];
+  readonly shortModel: IModel;
+  readonly activeGroups: readonly IPlannerGroup[];
   /** Free instances of all domains. */
-  readonly free: readonly IHoldingEngine[];
+  readonly free: readonly IPlannerEngine[];
   /** Groups of a model beyond its ideal number. */
   readonly excess: (model: string) => number;
 }
 
 /** The groups to close; empty where it would not help. */
-export function groupsToTurnOver(
-  situation: ITurnOverSituation,
+export function findGroupsToReassign(
+  situation: IReassignmentInput,
 ): readonly string[] {
   let best: readonly string[] = [];
-  const domains = new Set(situation.standing.map(({ domain }) => domain));
+  const domains = new Set(situation.activeGroups.map(({ domain }) => domain));
   for (const domain of domains) {
     const groups = closableIn(domain, situation);
     if (
@@ -50,25 +50,29 @@
 /** The fewest groups of a domain whose members make one of the short model. */
 function closableIn(
   domain: DomainName,
-  situation: ITurnOverSituation,
+  situation: IReassignmentInput,
 ): readonly string[] {
-  const { short, standing, free, excess } = situation;
+  const { shortModel, activeGroups, free, excess } = situation;
   let fit = free.filter(
-    (engine) => engine.view.state?.domain === domain && isFit(engine, short),
+    (engine) =>
+      engine.view.state?.domain === domain &&
+      canJoinWithoutLoad(engine, shortModel),
   ).length;
   const closed = new Map<string, number>();
   const groups: string[] = [];
-  for (const group of standing) {
-    const gained = group.members.filter((one) => isFit(one, short)).length;
+  for (const group of activeGroups) {
+    const gained = group.members.filter((one) =>
+      canJoinWithoutLoad(one, shortModel),
+    ).length;
     const count = (closed.get(group.model) ?? 0) + 1;
     const isSpareable = excess(group.model) >= count - TOLERATED_LACK;
-    const isOther = group.model !== short.name && group.isServing;
+    const isOther = group.model !== shortModel.name && group.isServing;
     if (group.domain === domain && isOther && isSpareable && gained > 0) {
       closed.set(group.model, count);
       groups.push(group.group);
       fit += gained;
     }
-    if (fit >= short.size) {
+    if (fit >= shortModel.size) {
       return groups;
     }
   }
--- a/src/common/replicas/ideal_groups.ts
+++ b/src/common/replicas/ideal_groups.ts
@@ -21,7 +21,7 @@
  * @param demand - groups that the calls keep busy, by model
  * @param instances - how many may be in groups
  */
-export function idealGroups(
+export function idealGroupCounts(
   models: readonly IModel[],
   demand: ReadonlyMap<string, number>,
   instances: number,
--- a/src/common/replicas/ideal_groups_test.ts
+++ b/src/common/replicas/ideal_groups_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { idealGroups } from "./ideal_groups.ts";
+import { idealGroupCounts } from "./ideal_groups.ts";
 
 const LARGE = {
   name: "large",
@@ -20,7 +20,7 @@
       ["large", 3.7],
       ["small", 7.7],
     ]);
-    const groups = idealGroups([LARGE, SMALL], demand, 42);
+    const groups = idealGroupCounts([LARGE, SMALL], demand, 42);
     const large = groups.get("large") ?? 0;
     const small = groups.get("small") ?? 0;
     expect(large * 4 + small * 2).to.be.closeTo(42, 0.001);
@@ -28,7 +28,7 @@
   });
 
   it("goes by the shares while nothing is asked", () => {
-    const groups = idealGroups([LARGE, SMALL], new Map(), 12);
+    const groups = idealGroupCounts([LARGE, SMALL], new Map(), 12);
     expect(groups.get("large")).to.be.closeTo(2, 0.001);
     expect(groups.get("small")).to.be.closeTo(2, 0.001);
   });
--- a/src/common/replicas/lease_keeper.ts
+++ b/src/common/replicas/lease_manager.ts
@@ -40,26 +40,26 @@
  * Time between two reads while the holder answers, and while it does not. While
  * it answers, a read could only tell what its next silence will.
  */
-const CALM_READ_PERIOD = 10_000;
+const HEALTHY_READ_PERIOD = 10_000;
 const DOUBT_READ_PERIOD = 300;
 
 /** Between a failed write and the next, milliseconds. */
 const PAUSE_AFTER_FAILURE = 250;
 
 /** What the keeper needs. */
-export interface ILeaseKeeperParts {
+export interface ILeaseManagerParts {
   readonly store: IObjectStore;
   readonly clock: IClock;
   readonly log: ILog;
   /** Whether the holder has answered lately, so that few reads are needed. */
-  readonly isHolderHeard: () => boolean;
+  readonly isHolderHealthy: () => boolean;
   readonly onAcquired: () => void;
   readonly onLost: () => void;
 }
 
 /** The lease as one process keeps it. */
-export class LeaseKeeper implements IDisposable {
-  readonly #parts: ILeaseKeeperParts;
+export class LeaseManager implements IDisposable {
+  readonly #parts: ILeaseManagerParts;
   readonly #process: DaemonId;
   readonly #lease: DomainLease;
   readonly #owned = new DisposableStore();
@@ -70,7 +70,7 @@
   #isStopped = false;
 
   /** @param process - names this process; peers reach it by this name */
-  constructor(process: DaemonId, parts: ILeaseKeeperParts) {
+  constructor(process: DaemonId, parts: ILeaseManagerParts) {
     this.#process = process;
     this.#parts = parts;
     this.#lease = new DomainLease(process, RECORD, TIMING);
@@ -92,26 +92,26 @@
 
   /** The process that holds the lease, as last seen; null for none. */
   get holder(): DaemonId | null {
-    return this.#lease.seen?.record.holder ?? null;
+    return this.#lease.lastSeen?.record.holder ?? null;
   }
 
   /** Rises each time the lease changes hands. */
   get epoch(): number {
-    return this.#lease.seen?.record.epoch ?? 0;
+    return this.#lease.lastSeen?.record.epoch ?? 0;
   }
 
   /** The process that held the lease is known to have ended. */
-  holderEnded(holder: DaemonId): void {
-    this.#lease.holderEnded(holder);
+  handleHolderEnded(holder: DaemonId): void {
+    this.#lease.handleHolderEnded(holder);
     void this.#read();
   }
 
   /** Gives the lease back so that another process need not wait for its end. */
-  async giveBack(): Promise<void> {
+  async release(): Promise<void> {
     this.#isStopped = true;
-    const actions = this.#lease.giveBack(this.#now);
+    const actions = this.#lease.release(this.#now);
     this.#owned.dispose();
-    await Promise.all(actions.map((action) => this.#carryOut(action)));
+    await Promise.all(actions.map((action) => this.#perform(action)));
   }
 
   dispose(): void {
@@ -124,23 +124,23 @@
   }
 
   #tick(): void {
-    this.#run(this.#lease.tick(this.#now));
-    const isCalm = this.isHolding || this.#parts.isHolderHeard();
-    const period = isCalm ? CALM_READ_PERIOD : DOUBT_READ_PERIOD;
-    const isFirst = this.#lease.seen === null;
+    this.#performAll(this.#lease.tick(this.#now));
+    const isCalm = this.isHolding || this.#parts.isHolderHealthy();
+    const period = isCalm ? HEALTHY_READ_PERIOD : DOUBT_READ_PERIOD;
+    const isFirst = this.#lease.lastSeen === null;
     const due = this.#readAt + (isFirst ? DOUBT_READ_PERIOD : period);
     if (this.#now >= due && !this.isHolding) {
       void this.#read();
     }
   }
 
-  #run(actions: readonly LeaseAction[]): void {
+  #performAll(actions: readonly LeaseAction[]): void {
     for (const action of actions) {
-      void this.#carryOut(action);
+      void this.#perform(action);
     }
   }
 
-  async #carryOut(action: LeaseAction): Promise<void> {
+  async #perform(action: LeaseAction): Promise<void> {
     const { log, onAcquired, onLost } = this.#parts;
     switch (action.kind) {
       case LeaseActionKind.Read:
@@ -165,7 +165,7 @@
   ): Promise<void> {
     const { record, expectedVersion } = action;
     if (this.#now < this.#writeAfter) {
-      this.#run(this.#lease.writeFailed(record.attempt));
+      this.#performAll(this.#lease.handleWriteFailed(record.attempt));
       return;
     }
     const written = await this.#parts.store.write({
@@ -175,18 +175,20 @@
       expectedVersion,
     });
     if (written.isOk()) {
-      this.#run(this.#lease.writeTook(record.attempt, written.value));
+      this.#performAll(
+        this.#lease.handleWriteSucceeded(record.attempt, written.value),
+      );
       return;
     }
     this.#writeAfter = this.#now + PAUSE_AFTER_FAILURE;
     const { kind, detail } = written.error;
     this.#parts.log.warn("lease_write_failed", { kind, detail });
     if (kind === WriteFailureKind.Conflict) {
-      this.#run(this.#lease.writeConflicted(record.attempt));
+      this.#performAll(this.#lease.handleWriteConflict(record.attempt));
     } else if (kind === WriteFailureKind.NotApplied) {
-      this.#run(this.#lease.writeFailed(record.attempt));
+      this.#performAll(this.#lease.handleWriteFailed(record.attempt));
     } else {
-      this.#run(this.#lease.writeUnknown(record.attempt));
+      this.#performAll(this.#lease.handleWriteUnknown(record.attempt));
     }
   }
 
@@ -203,7 +205,7 @@
       return;
     }
     if (found.value.isNone()) {
-      this.#run(this.#lease.observed(null, this.#now));
+      this.#performAll(this.#lease.observe(null, this.#now));
       return;
     }
     const { value, version } = found.value.value;
@@ -217,7 +219,7 @@
       return;
     }
     const seen = { version, record: record.value };
-    this.#run(this.#lease.observed(seen, this.#now));
+    this.#performAll(this.#lease.observe(seen, this.#now));
   }
 
   /** Names this process in the record. */
--- a/src/common/replicas/load_allowance.ts
+++ b/src/common/replicas/load_allowance.ts
@@ -17,7 +17,7 @@
 }
 
 /** Part of the bound for one holder: two may act within a window. */
-const HOLDER_PART = 0.45;
+const HOLDER_SHARE = 0.45;
 
 /** Loads that the platform allows on top in each window. */
 const EXTRA_LOADS = 3;
@@ -27,22 +27,22 @@
 /** The loads that one holder began. */
 export class LoadAllowance {
   readonly #bounds: ILoadBounds;
-  #begun: MonotonicTime[] = [];
+  #startedAt: MonotonicTime[] = [];
 
   constructor(bounds: ILoadBounds) {
     this.#bounds = bounds;
   }
 
   /** How many may begin now, at a store's rate of loads a second. */
-  left(loadsPerSecond: number, now: MonotonicTime): number {
+  remaining(loadsPerSecond: number, now: MonotonicTime): number {
     const { window, factor } = this.#bounds;
-    this.#begun = this.#begun.filter((at) => now - at < window);
+    this.#startedAt = this.#startedAt.filter((at) => now - at < window);
     const seconds = window / MILLISECONDS_A_SECOND;
     const bound = loadsPerSecond * seconds * factor + EXTRA_LOADS;
-    return Math.floor(bound * HOLDER_PART) - this.#begun.length;
+    return Math.floor(bound * HOLDER_SHARE) - this.#startedAt.length;
   }
 
-  began(now: MonotonicTime): void {
-    this.#begun.push(now);
+  recordLoad(now: MonotonicTime): void {
+    this.#startedAt.push(now);
   }
 }
--- a/src/common/replicas/load_allowance_test.ts
+++ b/src/common/replicas/load_allowance_test.ts
@@ -12,8 +12,8 @@
     const begun = [new LoadAllowance(BOUNDS), new LoadAllowance(BOUNDS)].map(
       (allowance) => {
         let loads = 0;
-        while (allowance.left(RATE, 1_000) > 0) {
-          allowance.began(1_000);
+        while (allowance.remaining(RATE, 1_000) > 0) {
+          allowance.recordLoad(1_000);
           loads += 1;
         }
         return loads;
@@ -27,9 +27,9 @@
 
   it("gives the loads back after the window", () => {
     const allowance = new LoadAllowance(BOUNDS);
-    const whole = allowance.left(RATE, 0);
-    allowance.began(0);
-    expect(allowance.left(RATE, 4_999)).to.equal(whole - 1);
-    expect(allowance.left(RATE, 5_000)).to.equal(whole);
+    const whole = allowance.remaining(RATE, 0);
+    allowance.recordLoad(0);
+    expect(allowance.remaining(RATE, 4_999)).to.equal(whole - 1);
+    expect(allowance.remaining(RATE, 5_000)).to.equal(whole);
   });
 });
--- a/src/common/replicas/loaded_models.ts
+++ b/src/common/replicas/loaded_models.ts
@@ -3,7 +3,7 @@
  * after it has left the group, and joins it again at once.
  */
 import type { InstanceId, MonotonicTime } from "../types.ts";
-import type { IEngineView } from "./engine_book.ts";
+import type { IEngineView } from "./engine_registry.ts";
 
 interface ILoaded {
   readonly model: string;
@@ -16,7 +16,7 @@
   readonly #loaded = new Map<InstanceId, ILoaded>();
 
   /** The engine has accepted the order to join a group of the model. */
-  joined(view: IEngineView, model: string, now: MonotonicTime): void {
+  recordJoin(view: IEngineView, model: string, now: MonotonicTime): void {
     const { id } = view.target;
     const { startedAt } = view;
     this.#loaded.set(id, { model, joinedAt: now, startedAt });
@@ -33,7 +33,7 @@
   }
 
   /** Null where it is not known to have been in a group. */
-  of(view: IEngineView): string | null {
+  modelOf(view: IEngineView): string | null {
     const known = this.#loaded.get(view.target.id);
     if (known !== undefined && known.startedAt === view.startedAt) {
       return known.model;
@@ -42,7 +42,7 @@
   }
 
   /** Forgets engines that are known no longer. */
-  keepOnly(views: ReadonlyMap<InstanceId, IEngineView>): void {
+  retainOnly(views: ReadonlyMap<InstanceId, IEngineView>): void {
     for (const id of this.#loaded.keys()) {
       if (!views.has(id)) {
         this.#loaded.delete(id);
--- a/src/common/replicas/holding_engine.ts
+++ b/src/common/replicas/model_readiness.ts
@@ -2,10 +2,10 @@
 import { MemberState } from "../calls/types.ts";
 import type { IModel } from "../calls/types.ts";
 import type { DomainName } from "../types.ts";
-import type { IEngineView } from "./engine_book.ts";
+import type { IEngineView } from "./engine_registry.ts";
 
 /** An instance with what it holds. */
-export interface IHoldingEngine {
+export interface IPlannerEngine {
   readonly view: IEngineView;
   /** The model of its last group since its start; null without one. */
   readonly loaded: string | null;
@@ -14,12 +14,12 @@
 }
 
 /** A group that serves or will. */
-export interface IStandingGroup {
+export interface IPlannerGroup {
   readonly group: string;
   readonly model: string;
   readonly domain: DomainName;
   readonly isServing: boolean;
-  readonly members: readonly IHoldingEngine[];
+  readonly members: readonly IPlannerEngine[];
 }
 
 /** How fast an instance joins a group of a model. */
@@ -32,7 +32,7 @@
   Loaded = 2,
 }
 
-export function readiness(engine: IHoldingEngine, model: IModel): Readiness {
+export function readiness(engine: IPlannerEngine, model: IModel): Readiness {
   if (engine.loaded === model.name) {
     return Readiness.Loaded;
   }
@@ -40,12 +40,15 @@
 }
 
 /** Whether it joins a group of the model without a load. */
-export function isFit(engine: IHoldingEngine, model: IModel): boolean {
+export function canJoinWithoutLoad(
+  engine: IPlannerEngine,
+  model: IModel,
+): boolean {
   return readiness(engine, model) > Readiness.Cold;
 }
 
 /** Whether the engine still loads the model of its last group. */
-export function isLoading(engine: IHoldingEngine): boolean {
+export function isLoading(engine: IPlannerEngine): boolean {
   const { view, loaded } = engine;
   if (engine.isUnconfirmed) {
     return true;
@@ -56,6 +59,6 @@
   return loaded !== null && (isJoining || (membership !== null && !isIn));
 }
 
-export function isOnHost({ view }: IHoldingEngine, model: string): boolean {
+export function isOnHost({ view }: IPlannerEngine, model: string): boolean {
   return view.state?.staged.includes(model) ?? false;
 }
--- a/src/common/replicas/order_desk.ts
+++ b/src/common/replicas/order_dispatcher.ts
@@ -10,7 +10,7 @@
 import type {
   EngineOrder,
   IEngineAddress,
-  IEngines,
+  IEngineClient,
   OrderOutcome,
 } from "./types.ts";
 
@@ -18,22 +18,22 @@
 const ORDER_TIMEOUT = 300;
 
 /** Time between two sendings of the same order, milliseconds. */
-const REPEAT_AFTER = 250;
+const RESEND_AFTER = 250;
 
 interface ISentOrder {
   readonly sentAt: MonotonicTime;
-  isOnItsWay: boolean;
+  isInFlight: boolean;
 }
 
 /** Orders on their way, so that none is sent twice at a time. */
-export class OrderDesk {
-  readonly #engines: IEngines;
+export class OrderDispatcher {
+  readonly #engines: IEngineClient;
   readonly #clock: IClock;
   readonly #mayOrder: () => boolean;
   readonly #sent = new Map<string, ISentOrder>();
 
   constructor(parts: {
-    readonly engines: IEngines;
+    readonly engines: IEngineClient;
     readonly clock: IClock;
     readonly mayOrder: () => boolean;
   }) {
@@ -46,25 +46,27 @@
   send(
     engine: IEngineAddress,
     order: EngineOrder,
-    ended: (outcome: OrderOutcome) => void,
+    onOutcome: (outcome: OrderOutcome) => void,
   ): void {
     const now = this.#clock.now();
-    this.#forgetOld(now);
+    this.#removeOld(now);
     const key = keyOf(engine, order);
     if (this.#sent.has(key) || !this.#mayOrder()) {
       return;
     }
-    const sent: ISentOrder = { sentAt: now, isOnItsWay: true };
+    const sent: ISentOrder = { sentAt: now, isInFlight: true };
     this.#sent.set(key, sent);
-    void this.#engines.order(engine, order, ORDER_TIMEOUT).then((outcome) => {
-      sent.isOnItsWay = false;
-      ended(outcome);
-    });
+    void this.#engines
+      .sendOrder(engine, order, ORDER_TIMEOUT)
+      .then((outcome) => {
+        sent.isInFlight = false;
+        onOutcome(outcome);
+      });
   }
 
-  #forgetOld(now: MonotonicTime): void {
-    for (const [key, { sentAt, isOnItsWay }] of this.#sent) {
-      if (!isOnItsWay && now - sentAt > REPEAT_AFTER) {
+  #removeOld(now: MonotonicTime): void {
+    for (const [key, { sentAt, isInFlight }] of this.#sent) {
+      if (!isInFlight && now - sentAt > RESEND_AFTER) {
         this.#sent.delete(key);
       }
     }
--- a/src/common/replicas/plan_groups.ts
+++ b/src/common/replicas/plan_groups.ts
@@ -18,10 +18,15 @@
  */
 import type { IModel } from "../calls/types.ts";
 import type { DomainName, InstanceId } from "../types.ts";
-import { isLoading, isOnHost, readiness, Readiness } from "./holding_engine.ts";
-import type { IHoldingEngine, IStandingGroup } from "./holding_engine.ts";
-import { idealGroups } from "./ideal_groups.ts";
-import { groupsToTurnOver } from "./turn_over.ts";
+import {
+  isLoading,
+  isOnHost,
+  readiness,
+  Readiness,
+} from "./model_readiness.ts";
+import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
+import { idealGroupCounts } from "./ideal_groups.ts";
+import { findGroupsToReassign } from "./group_reassignment.ts";
 
 /** Part of a model's groups' time from which another's may be turned over. */
 const PRESSURE_TO_REBALANCE = 0.85;
@@ -68,22 +73,22 @@
 }
 
 /** What stands, for the decision. */
-export interface IGroupSituation {
+export interface IPlanningInput {
   readonly models: readonly IModel[];
-  readonly free: readonly IHoldingEngine[];
+  readonly free: readonly IPlannerEngine[];
   /** Members of groups that serve. */
-  readonly serving: readonly IHoldingEngine[];
+  readonly serving: readonly IPlannerEngine[];
   /** Instances that load a model by an order to stage. */
   readonly staging: ReadonlyMap<InstanceId, string>;
   /** Groups that serve or will, by model and domain. */
-  readonly standing: readonly IStandingGroup[];
+  readonly activeGroups: readonly IPlannerGroup[];
   /**
    * Domains in which groups are being closed for a model that is short. Formed
    * into anything else, their free instances would be missing for it.
    */
-  readonly reserved: ReadonlySet<DomainName>;
+  readonly reservedDomains: ReadonlySet<DomainName>;
   /** Models of which a group is being given up or formed. */
-  readonly healing: ReadonlySet<string>;
+  readonly healingModels: ReadonlySet<string>;
   /** Groups that the calls keep busy, by model. */
   readonly demand: ReadonlyMap<string, number>;
   /** Whether loads are fast and free, since no caller has come yet. */
@@ -95,7 +100,7 @@
 }
 
 /** Decides for all domains. */
-export function planGroups(situation: IGroupSituation): IProposals {
+export function planGroups(situation: IPlanningInput): IProposals {
   const planner = new Planner(situation);
   const domains = byDomain(situation.free);
   for (const [domain, free] of domains) {
@@ -108,7 +113,7 @@
 
 /** Goes through the domains and keeps what was promised. */
 class Planner {
-  readonly #situation: IGroupSituation;
+  readonly #input: IPlanningInput;
   /** Groups of each model, those proposed included. */
   readonly #counts = new Map<string, number>();
   #closing: readonly string[] = [];
@@ -117,18 +122,18 @@
   readonly #stagings: IProposedModel[] = [];
   readonly #ideal: ReadonlyMap<string, number>;
   /** Free instances that no group was formed of. */
-  readonly #left = new Set<IHoldingEngine>();
+  readonly #leftover = new Set<IPlannerEngine>();
 
-  constructor(situation: IGroupSituation) {
-    this.#situation = situation;
-    const members = situation.standing.flatMap((group) => group.members);
+  constructor(situation: IPlanningInput) {
+    this.#input = situation;
+    const members = situation.activeGroups.flatMap((group) => group.members);
     const instances = members.length + situation.free.length;
-    this.#ideal = idealGroups(
+    this.#ideal = idealGroupCounts(
       situation.models,
       situation.demand,
       instances * PART_IN_GROUPS,
     );
-    for (const { model } of situation.standing) {
+    for (const { model } of situation.activeGroups) {
       this.#counts.set(model, (this.#counts.get(model) ?? 0) + 1);
     }
   }
@@ -143,35 +148,36 @@
   }
 
   /** Forms groups of the free instances of one domain, as many as are of use. */
-  formGroups(domain: DomainName, free: readonly IHoldingEngine[]): void {
+  formGroups(domain: DomainName, free: readonly IPlannerEngine[]): void {
     const left = new Set(free);
-    const standing = this.#standingIn(domain);
+    const standing = this.#groupCountsIn(domain);
     let isFormed = true;
     while (isFormed) {
       isFormed = this.#formNext(domain, left, standing);
     }
-    left.forEach((engine) => this.#left.add(engine));
+    left.forEach((engine) => this.#leftover.add(engine));
   }
 
   /** Closes groups of a model that has room for a model that is short. */
   rebalance(): void {
-    const { models, standing, reserved, healing } = this.#situation;
-    const short = this.#shortest(models);
-    if (short === null || this.#situation.isBeforeTraffic) {
+    const { models, activeGroups, reservedDomains, healingModels } =
+      this.#input;
+    const short = this.#scarcest(models);
+    if (short === null || this.#input.isBeforeTraffic) {
       return;
     }
     // One domain at a time, and not for what heals by itself: a lost group is
     // back in a second or two, and closing others for it meanwhile loses both.
-    const least = healing.has(short.name)
+    const least = healingModels.has(short.name)
       ? PRESSURE_WHILE_HEALING
       : PRESSURE_TO_REBALANCE;
     const isPressed = this.#pressure(short) >= least;
     const isLacking = -this.#excess(short) >= LACK_TO_REBALANCE;
-    if (isPressed && isLacking && reserved.size === 0) {
-      this.#closing = groupsToTurnOver({
-        short,
-        standing,
-        free: [...this.#left],
+    if (isPressed && isLacking && reservedDomains.size === 0) {
+      this.#closing = findGroupsToReassign({
+        shortModel: short,
+        activeGroups: activeGroups,
+        free: [...this.#leftover],
         excess: (name) => this.#excessOf(name),
       });
     }
@@ -179,21 +185,25 @@
 
   /** Warms free instances, and stages a second model wherever one lacks. */
   prepareHosts(): void {
-    for (const engine of this.#left) {
+    for (const engine of this.#leftover) {
       this.#warm(engine);
     }
     // An instance without any model is of no use yet; members can wait.
-    const empty = [...this.#left].filter((one) => !this.#isOfUse(one));
-    const others = [...this.#left].filter((one) => this.#isOfUse(one));
-    for (const engine of [...empty, ...others, ...this.#situation.serving]) {
+    const empty = [...this.#leftover].filter(
+      (one) => !this.#holdsAnyModel(one),
+    );
+    const others = [...this.#leftover].filter((one) =>
+      this.#holdsAnyModel(one),
+    );
+    for (const engine of [...empty, ...others, ...this.#input.serving]) {
       this.#stage(engine);
     }
   }
 
   /** Groups a model in one domain. */
-  #standingIn(domain: DomainName): Map<string, number> {
+  #groupCountsIn(domain: DomainName): Map<string, number> {
     const counts = new Map<string, number>();
-    for (const group of this.#situation.standing) {
+    for (const group of this.#input.activeGroups) {
       if (group.domain === domain) {
         counts.set(group.model, (counts.get(group.model) ?? 0) + 1);
       }
@@ -204,18 +214,18 @@
   /** Forms one group if there is a use for it and there are the members. */
   #formNext(
     domain: DomainName,
-    left: Set<IHoldingEngine>,
+    left: Set<IPlannerEngine>,
     standing: Map<string, number>,
   ): boolean {
     const byNeed = this.#byNeed(standing);
-    const isReserved = this.#situation.reserved.has(domain);
+    const isReserved = this.#input.reservedDomains.has(domain);
     for (const model of isReserved ? byNeed.slice(0, 1) : byNeed) {
       const members = this.#membersFor(model, left, standing);
       if (members !== null) {
         members.forEach((member) => left.delete(member));
         const ids = members.map(({ view }) => view.target.id);
         this.#groups.push({ model: model.name, members: ids });
-        this.#counts.set(model.name, this.#groupsOf(model) + 1);
+        this.#counts.set(model.name, this.#groupCount(model) + 1);
         standing.set(model.name, (standing.get(model.name) ?? 0) + 1);
         return true;
       }
@@ -225,17 +235,17 @@
 
   #membersFor(
     model: IModel,
-    left: ReadonlySet<IHoldingEngine>,
+    left: ReadonlySet<IPlannerEngine>,
     standing: ReadonlyMap<string, number>,
-  ): readonly IHoldingEngine[] | null {
-    const { isBeforeTraffic } = this.#situation;
+  ): readonly IPlannerEngine[] | null {
+    const { isBeforeTraffic } = this.#input;
     const fit = [...left].filter(
       (engine) => isBeforeTraffic || readiness(engine, model) > Readiness.Cold,
     );
     if (fit.length < model.size) {
       return null;
     }
-    const useful = [...left].filter((one) => this.#isOfUse(one));
+    const useful = [...left].filter((one) => this.#holdsAnyModel(one));
     const spares = isBeforeTraffic ? left.size : useful.length;
     const isShort = !isBeforeTraffic && this.#excess(model) < 0;
     if (!isShort && !this.#leavesSpares(model, spares, standing)) {
@@ -252,34 +262,34 @@
     standing: ReadonlyMap<string, number>,
   ): boolean {
     let members = model.size;
-    for (const { name, size } of this.#situation.models) {
+    for (const { name, size } of this.#input.models) {
       members += (standing.get(name) ?? 0) * size;
     }
     return left - model.size >= Math.floor(members / MEMBERS_PER_SPARE);
   }
 
   /** Gives a free instance that was in no group yet one of its own. */
-  #warm(engine: IHoldingEngine): void {
-    const { models, isBeforeTraffic } = this.#situation;
+  #warm(engine: IPlannerEngine): void {
+    const { models, isBeforeTraffic } = this.#input;
     if (engine.loaded !== null) {
       return;
     }
     const known = models.filter(
       (model) => isBeforeTraffic || readiness(engine, model) > Readiness.Cold,
     );
-    const model = this.#shortest(known);
+    const model = this.#scarcest(known);
     if (model !== null) {
       const { id } = engine.view.target;
       this.#warmings.push({ engine: id, model: model.name });
     }
   }
 
-  #stage(engine: IHoldingEngine): void {
+  #stage(engine: IPlannerEngine): void {
     const { models, staging, isBeforeTraffic, loadsLeft, loadsAtOnce } =
-      this.#situation;
+      this.#input;
     const { id } = engine.view.target;
     const begun = staging.size + this.#stagings.length;
-    const part = this.#isOfUse(engine) ? SECOND_LOADS_PART : 1;
+    const part = this.#holdsAnyModel(engine) ? SECOND_LOADS_PART : 1;
     const most = Math.max(1, Math.floor(loadsAtOnce * part));
     const mayLoad =
       isBeforeTraffic || (begun < most && this.#stagings.length < loadsLeft);
@@ -295,28 +305,28 @@
     const hostIsOfUse = models.some(
       ({ name }) => name !== engine.loaded && isOnHost(engine, name),
     );
-    const model = this.#shortest(lacking);
+    const model = this.#scarcest(lacking);
     if (model !== null && !hostIsOfUse && holds < HELD_MODELS) {
       this.#stagings.push({ engine: id, model: model.name });
     }
   }
 
-  #isOfUse(engine: IHoldingEngine): boolean {
-    return this.#situation.models.some(
+  #holdsAnyModel(engine: IPlannerEngine): boolean {
+    return this.#input.models.some(
       (model) => readiness(engine, model) > Readiness.Cold,
     );
   }
 
   /** Models in order of need: before traffic those that this domain lacks. */
   #byNeed(standing: ReadonlyMap<string, number>): readonly IModel[] {
-    return [...this.#situation.models].sort(
+    return [...this.#input.models].sort(
       (one, other) => this.#need(other, standing) - this.#need(one, standing),
     );
   }
 
   #need(model: IModel, standing: ReadonlyMap<string, number>): number {
-    if (!this.#situation.isBeforeTraffic) {
-      return -this.#have(model);
+    if (!this.#input.isBeforeTraffic) {
+      return -this.#idealFraction(model);
     }
     // Nothing is known of the demand yet but the shares: instances are divided
     // by them, in each domain alike.
@@ -326,8 +336,8 @@
 
   /** Part of its groups' time that a model's calls ask for. */
   #pressure(model: IModel): number {
-    const demand = this.#situation.demand.get(model.name) ?? 0;
-    return demand / Math.max(this.#groupsOf(model), 0.5);
+    const demand = this.#input.demand.get(model.name) ?? 0;
+    return demand / Math.max(this.#groupCount(model), 0.5);
   }
 
   /** Groups beyond the ideal number; negative where there are too few. */
@@ -340,22 +350,22 @@
   }
 
   /** The model that lacks the largest part of its ideal number. */
-  #shortest(models: readonly IModel[]): IModel | null {
+  #scarcest(models: readonly IModel[]): IModel | null {
     const [shortest] = [...models].sort(
-      (one, other) => this.#have(one) - this.#have(other),
+      (one, other) => this.#idealFraction(one) - this.#idealFraction(other),
     );
     return shortest ?? null;
   }
 
   /** Part of its ideal number of groups that a model has. */
-  #have(model: IModel): number {
+  #idealFraction(model: IModel): number {
     const ideal = this.#ideal.get(model.name) ?? 0;
     return ideal === 0
       ? Number.POSITIVE_INFINITY
-      : this.#groupsOf(model) / ideal;
+      : this.#groupCount(model) / ideal;
   }
 
-  #groupsOf(model: IModel): number {
+  #groupCount(model: IModel): number {
     return this.#counts.get(model.name) ?? 0;
   }
 }
@@ -364,9 +374,9 @@
 const HELD_MODELS = 2;
 
 function byDomain(
-  free: readonly IHoldingEngine[],
-): ReadonlyMap<DomainName, IHoldingEngine[]> {
-  const domains = new Map<DomainName, IHoldingEngine[]>();
+  free: readonly IPlannerEngine[],
+): ReadonlyMap<DomainName, IPlannerEngine[]> {
+  const domains = new Map<DomainName, IPlannerEngine[]>();
   for (const engine of free) {
     const domain = engine.view.state?.domain ?? "";
     domains.set(domain, [...(domains.get(domain) ?? []), engine]);
--- a/src/common/replicas/plan_groups_test.ts
+++ b/src/common/replicas/plan_groups_test.ts
@@ -1,8 +1,8 @@
 import { expect } from "chai";
 import { MemberState } from "../calls/types.ts";
 import { planGroups } from "./plan_groups.ts";
-import type { IHoldingEngine, IStandingGroup } from "./holding_engine.ts";
-import type { IGroupSituation } from "./plan_groups.ts";
+import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
+import type { IPlanningInput } from "./plan_groups.ts";
 import {
   engineState,
   engineView,
@@ -15,7 +15,7 @@
   id: string,
   loaded: string | null,
   staged: readonly string[] = [],
-): IHoldingEngine {
+): IPlannerEngine {
   const view = engineView(id, { state: engineState({ staged }) });
   return { view, loaded, isUnconfirmed: false };
 }
@@ -24,13 +24,13 @@
   count: number,
   loaded: string | null,
   staged: readonly string[] = [],
-): readonly IHoldingEngine[] {
+): readonly IPlannerEngine[] {
   return Array.from({ length: count }, (_, index) =>
     holding(`${loaded}-${index}`, loaded, staged),
   );
 }
 
-function standing(model: string, group: string): IStandingGroup {
+function standing(model: string, group: string): IPlannerGroup {
   const size = model === "large" ? LARGE.size : SMALL.size;
   const other = model === "large" ? "small" : "large";
   const members = Array.from({ length: size }, (_, index) =>
@@ -45,15 +45,15 @@
   };
 }
 
-function situation(part: Partial<IGroupSituation>): IGroupSituation {
+function situation(part: Partial<IPlanningInput>): IPlanningInput {
   return {
     models: [LARGE, SMALL],
     free: [],
     serving: [],
     staging: new Map(),
-    standing: [],
-    reserved: new Set(),
-    healing: new Set(),
+    activeGroups: [],
+    reservedDomains: new Set(),
+    healingModels: new Set(),
     demand: new Map([
       ["large", 1],
       ["small", 2],
@@ -86,7 +86,7 @@
   it("heals with a spare that has the model on its host", () => {
     const free = [...many(3, "large"), holding("spare", "small", ["large"])];
     const stands = ["a", "b", "c"].map((name) => standing("small", name));
-    const plan = planGroups(situation({ free, standing: stands }));
+    const plan = planGroups(situation({ free, activeGroups: stands }));
     expect(plan.groups).to.deep.equal([
       {
         model: "large",
@@ -103,7 +103,7 @@
     );
     const plan = planGroups(
       situation({
-        standing: [...stands, standing("large", "g")],
+        activeGroups: [...stands, standing("large", "g")],
         free: many(2, "large", ["small"]),
         demand: new Map([
           ["large", 2],
@@ -123,7 +123,7 @@
     );
     const plan = planGroups(
       situation({
-        standing: stands,
+        activeGroups: stands,
         demand: new Map([
           ["large", 2],
           ["small", 1],
@@ -140,7 +140,7 @@
     const plan = planGroups(
       situation({
         free,
-        standing: ["a", "b"].map((name) => standing("small", name)),
+        activeGroups: ["a", "b"].map((name) => standing("small", name)),
         demand: new Map([
           ["large", 4],
           ["small", 1],
@@ -160,8 +160,8 @@
     const plan = planGroups(
       situation({
         free,
-        standing: stands,
-        reserved,
+        activeGroups: stands,
+        reservedDomains: reserved,
         demand: new Map([
           ["large", 4],
           ["small", 1],
@@ -179,7 +179,7 @@
     const names = ["a", "b", "c", "d", "e", "f"];
     const stands = names.map((name) => standing("small", name));
     const calm = situation({
-      standing: [...stands, standing("large", "g")],
+      activeGroups: [...stands, standing("large", "g")],
       demand: new Map([
         ["large", 1.5],
         ["small", 1],
@@ -187,13 +187,15 @@
     });
     expect(planGroups(calm).closing).to.have.length(2);
     const healing = new Set(["large"]);
-    expect(planGroups({ ...calm, healing }).closing).to.deep.equal([]);
+    expect(
+      planGroups({ ...calm, healingModels: healing }).closing,
+    ).to.deep.equal([]);
   });
 
   it("leaves groups alone while each model has its part", () => {
     const plan = planGroups(
       situation({
-        standing: [standing("small", "a"), standing("large", "b")],
+        activeGroups: [standing("small", "a"), standing("large", "b")],
         free: many(2, "large", ["small"]),
         demand: new Map([
           ["large", 0.5],
--- a/src/common/replicas/process_count.ts
+++ b/src/common/replicas/process_count.ts
@@ -10,22 +10,23 @@
 import type { MonotonicTime } from "../types.ts";
 
 /** Assumed before anything was heard: the share of each is next to nothing. */
-export const UNHEARD_PROCESSES = 100;
+export const INITIAL_PROCESS_COUNT = 100;
 
 /** A larger number is kept for so long, milliseconds: the bounds' window. */
-const MEMORY = 15_000;
+const MAXIMUM_LIFETIME = 15_000;
 
 /** The number as one process believes it. */
 export class ProcessCount {
-  #count = UNHEARD_PROCESSES;
-  #heardAt: MonotonicTime | null = null;
+  #count = INITIAL_PROCESS_COUNT;
+  #updatedAt: MonotonicTime | null = null;
 
   /** @param heard - processes heard of now, 0 when that is not known */
-  take(heard: number, now: MonotonicTime): number {
-    const isOld = this.#heardAt === null || now - this.#heardAt > MEMORY;
+  update(heard: number, now: MonotonicTime): number {
+    const isOld =
+      this.#updatedAt === null || now - this.#updatedAt > MAXIMUM_LIFETIME;
     if (heard > 0 && (heard >= this.#count || isOld)) {
       this.#count = heard;
-      this.#heardAt = now;
+      this.#updatedAt = now;
     }
     return this.#count;
   }
--- a/src/common/replicas/replica_group.ts
+++ b/src/common/replicas/replica_group.ts
@@ -5,7 +5,7 @@
 import { MemberState } from "../calls/types.ts";
 import type { IMembership } from "../calls/types.ts";
 import type { DomainName, InstanceId, MonotonicTime } from "../types.ts";
-import type { IEngineView } from "./engine_book.ts";
+import type { IEngineView } from "./engine_registry.ts";
 import type { IGroupPlan } from "./types.ts";
 
 /** Where a group stands. */
@@ -35,7 +35,7 @@
   /** One far slower than its peers holds the others back. */
   MemberSlow = "member_slow",
   /** Nothing is wrong: its members are needed for another model. */
-  TurnedOver = "turned_over",
+  Reassigned = "turned_over",
 }
 
 /** A group as the lease holder keeps it. */
@@ -102,7 +102,7 @@
   },
 ): GroupTrouble | null {
   const { view, reportLag } = seen;
-  if (view?.isOutOfReach) {
+  if (view?.isUnreachable) {
     return null;
   }
   if (view === undefined || (!view.isListed && view.isSilent)) {
--- a/src/common/replicas/replica_service.ts
+++ b/src/common/replicas/replica_service.ts
@@ -4,34 +4,38 @@
  * decisions ask for.
  */
 import type { IServingGroup } from "../calls/serving_groups.ts";
-import type { IEngineModel, IListedTarget, IModel } from "../calls/types.ts";
+import type { IEngineProfile, IListedTarget, IModel } from "../calls/types.ts";
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
 import type { IClock, ILog, IMetrics } from "../services/services.ts";
 import type { InstanceId, MonotonicTime, ServiceName } from "../types.ts";
-import type { IEngineView } from "./engine_book.ts";
-import { EngineWatch } from "./engine_watch.ts";
-import { GroupKeeper, LAG_MARGIN, warmGroupName } from "./group_keeper.ts";
+import type { IEngineView } from "./engine_registry.ts";
+import { EngineMonitor } from "./engine_monitor.ts";
+import {
+  GroupController,
+  REPORT_LAG_MARGIN,
+  warmGroupName,
+} from "./group_controller.ts";
 import type {
   EngineViews,
   IAddressedOrder,
   IGroupChange,
-} from "./group_keeper.ts";
+} from "./group_controller.ts";
 import { SmoothedDemand } from "./smoothed_demand.ts";
 import { LoadedModels } from "./loaded_models.ts";
 import { LoadAllowance } from "./load_allowance.ts";
 import type { ILoadBounds } from "./load_allowance.ts";
-import { OrderDesk } from "./order_desk.ts";
+import { OrderDispatcher } from "./order_dispatcher.ts";
 import { summarizeDomains } from "./domain_summary.ts";
 import { planGroups } from "./plan_groups.ts";
-import type { IHoldingEngine, IStandingGroup } from "./holding_engine.ts";
+import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
 import { GroupPhase, GroupTrouble } from "./replica_group.ts";
 import type { IReplicaGroup } from "./replica_group.ts";
-import { groupsToReplace, slowEngines } from "./slow_engines.ts";
-import { servingTable } from "./serving_table.ts";
-import { StagingBook } from "./staging_book.ts";
+import { findGroupsToReplace, findSlowEngines } from "./slow_engines.ts";
+import { buildServingTable } from "./serving_table.ts";
+import { StagingTracker } from "./staging_tracker.ts";
 import { OrderKind, OrderOutcome } from "./types.ts";
-import type { EngineOrder, IEngines, IGroupPlan } from "./types.ts";
+import type { EngineOrder, IEngineClient, IGroupPlan } from "./types.ts";
 
 /** Beyond the published time until an opened head is sent requests. */
 const OPEN_MARGIN = 20;
@@ -44,12 +48,12 @@
 
 /** What the service needs. */
 export interface IReplicaServiceParts {
-  readonly engines: IEngines;
+  readonly engines: IEngineClient;
   readonly clock: IClock;
   readonly log: ILog;
   readonly metrics: IMetrics;
-  readonly listed: () => readonly IListedTarget[];
-  readonly engine: () => IEngineModel | null;
+  readonly listedTargets: () => readonly IListedTarget[];
+  readonly engine: () => IEngineProfile | null;
   readonly mayOrder: () => boolean;
   /** A number that no other group has. */
   readonly nextEpoch: () => number;
@@ -71,16 +75,16 @@
   readonly #service: ServiceName;
   readonly #parts: IReplicaServiceParts;
   readonly #owned = new DisposableStore();
-  readonly #watch: EngineWatch;
-  readonly #keeper: GroupKeeper;
+  readonly #monitor: EngineMonitor;
+  readonly #controller: GroupController;
   readonly #allowance: LoadAllowance;
-  readonly #desk: OrderDesk;
-  readonly #staging = new StagingBook();
-  readonly #loaded = new LoadedModels();
+  readonly #dispatcher: OrderDispatcher;
+  readonly #staging = new StagingTracker();
+  readonly #loadedModels = new LoadedModels();
   readonly #demand = new SmoothedDemand();
   /** Engines with an order to warm on its way. */
   readonly #warming = new Set<InstanceId>();
-  #hasLooked = false;
+  #hasReconciled = false;
   /** Paces of the serving groups, as last told. */
   #paces = "";
 
@@ -91,17 +95,17 @@
   ) {
     this.#service = service;
     this.#parts = parts;
-    this.#keeper = new GroupKeeper(
+    this.#controller = new GroupController(
       {
         stallTime: bounds.stallTime,
         reportLag: () => parts.engine()?.reportLag ?? 0,
         openTime: () => (parts.engine()?.openTime ?? 0) + OPEN_MARGIN,
       },
-      (name) => this.#modelNamed(name),
+      (name) => this.#findModel(name),
     );
     this.#allowance = new LoadAllowance(bounds.loads);
-    this.#desk = new OrderDesk(parts);
-    this.#watch = new EngineWatch(parts);
+    this.#dispatcher = new OrderDispatcher(parts);
+    this.#monitor = new EngineMonitor(parts);
   }
 
   start(): void {
@@ -116,40 +120,44 @@
   }
 
   /** Processes found groups standing still: their members are asked at once. */
-  suspect(groups: readonly string[]): void {
-    this.#watch.suspect(groups);
+  suspectGroups(groups: readonly string[]): void {
+    this.#monitor.suspectGroups(groups);
   }
 
   /** Whether the groups that stand were looked for, so that the table is whole. */
-  get hasLooked(): boolean {
-    return this.#hasLooked;
+  get hasReconciled(): boolean {
+    return this.#hasReconciled;
   }
 
   /** The groups that take requests. */
-  get serving(): readonly IServingGroup[] {
+  get servingGroups(): readonly IServingGroup[] {
     const slots = this.#parts.engine()?.slots ?? 0;
     const options = { service: this.#service, slots };
-    return servingTable(this.#keeper.groups, this.#watch.views, options);
+    return buildServingTable(
+      this.#controller.groups,
+      this.#monitor.views,
+      options,
+    );
   }
 
   /** Groups that were given up of late: nothing more comes from them. */
-  get givenUp(): readonly string[] {
-    return this.#keeper.givenUp(this.#now);
+  get abandonedGroups(): readonly string[] {
+    return this.#controller.abandonedGroups(this.#now);
   }
 
   #tick(): void {
     const now = this.#now;
-    this.#watch.look(this.#keeper.groups, now);
-    if (!this.#watch.isSurveyed || this.#watch.isOwnLinkSuspect) {
+    this.#monitor.poll(this.#controller.groups, now);
+    if (!this.#monitor.isSurveyComplete || this.#monitor.isOwnLinkSuspect) {
       return;
     }
     // Also while the lease is in doubt: a group that lost a member must get no
     // more requests, though nothing can be ordered about it.
-    const orders = this.#keeper.look(this.#watch.views, now);
-    const isFirstLook = !this.#hasLooked;
-    this.#hasLooked = true;
+    const orders = this.#controller.reconcile(this.#monitor.views, now);
+    const isFirstLook = !this.#hasReconciled;
+    this.#hasReconciled = true;
     for (const order of orders) {
-      this.#order(order);
+      this.#sendOrder(order);
     }
     if (this.#parts.mayOrder()) {
       this.#plan(now);
@@ -162,16 +170,16 @@
     if (engine === null) {
       return;
     }
-    const views = this.#watch.views;
-    this.#staging.expire(views, now);
-    this.#loaded.keepOnly(views);
-    const slow = slowEngines(views.values());
-    const free = this.#keeper
-      .free(views)
+    const views = this.#monitor.views;
+    this.#staging.removeEnded(views, now);
+    this.#loadedModels.retainOnly(views);
+    const slow = findSlowEngines(views.values());
+    const free = this.#controller
+      .freeEngines(views)
       .filter(({ target }) => !slow.has(target.id))
-      .map((view) => this.#holding(view));
+      .map((view) => this.#plannerEngine(view));
     this.#replaceSlow(engine, { free, slow });
-    const groups = this.#keeper.groups;
+    const groups = this.#controller.groups;
     const proposals = planGroups({
       models: engine.models,
       free,
@@ -179,26 +187,26 @@
         .filter(({ phase }) => phase === GroupPhase.Serving)
         .flatMap(({ plan }) => plan.members)
         .flatMap((member) => views.get(member) ?? [])
-        .map((view) => this.#holding(view)),
+        .map((view) => this.#plannerEngine(view)),
       staging: this.#staging.models,
-      standing: groups
+      activeGroups: groups
         .filter(({ phase }) => phase !== GroupPhase.Dissolving)
-        .filter(({ trouble }) => trouble !== GroupTrouble.TurnedOver)
-        .map((group) => this.#standing(group, views)),
-      reserved: new Set(
+        .filter(({ trouble }) => trouble !== GroupTrouble.Reassigned)
+        .map((group) => this.#plannerGroup(group, views)),
+      reservedDomains: new Set(
         groups
-          .filter(({ trouble }) => trouble === GroupTrouble.TurnedOver)
+          .filter(({ trouble }) => trouble === GroupTrouble.Reassigned)
           .map(({ domain }) => domain),
       ),
-      healing: this.#healing(),
-      demand: this.#demand.take(this.#parts.demand(), now),
+      healingModels: this.#healingModels(),
+      demand: this.#demand.update(this.#parts.demand(), now),
       isBeforeTraffic: this.#parts.isBeforeTraffic(),
       loadsAtOnce: engine.loadsAtOnce,
-      loadsLeft: this.#allowance.left(engine.loadsPerSecond, now),
+      loadsLeft: this.#allowance.remaining(engine.loadsPerSecond, now),
     });
-    proposals.closing.forEach((name) => this.#keeper.close(name, now));
+    proposals.closing.forEach((name) => this.#controller.close(name, now));
     for (const { model, members } of proposals.groups) {
-      this.#keeper.form(this.#newPlan(model, members), views, now);
+      this.#controller.form(this.#createPlan(model, members), views, now);
     }
     for (const { engine: id, model } of proposals.warmings) {
       this.#warm(id, model);
@@ -209,35 +217,35 @@
   }
 
   /** Models of which a group is being given up or formed. */
-  #healing(): ReadonlySet<string> {
-    const healing = this.#keeper.groups.filter(
+  #healingModels(): ReadonlySet<string> {
+    const healing = this.#controller.groups.filter(
       ({ phase, trouble }) =>
-        phase !== GroupPhase.Serving && trouble !== GroupTrouble.TurnedOver,
+        phase !== GroupPhase.Serving && trouble !== GroupTrouble.Reassigned,
     );
     return new Set(healing.map(({ plan }) => plan.model));
   }
 
   /** Gives up groups that slow members hold back, where others can be formed. */
   #replaceSlow(
-    { models }: IEngineModel,
+    { models }: IEngineProfile,
     engines: {
-      readonly free: readonly IHoldingEngine[];
+      readonly free: readonly IPlannerEngine[];
       readonly slow: ReadonlySet<InstanceId>;
     },
   ): void {
-    const views = this.#watch.views;
-    const standing = this.#keeper.groups
+    const views = this.#monitor.views;
+    const standing = this.#controller.groups
       .filter(({ phase }) => phase !== GroupPhase.Dissolving)
-      .map((group) => this.#standing(group, views));
-    for (const name of groupsToReplace({ models, standing, ...engines })) {
-      this.#keeper.giveUp(name, GroupTrouble.MemberSlow, this.#now);
+      .map((group) => this.#plannerGroup(group, views));
+    for (const name of findGroupsToReplace({ models, standing, ...engines })) {
+      this.#controller.abandon(name, GroupTrouble.MemberSlow, this.#now);
     }
   }
 
-  #standing(
+  #plannerGroup(
     { plan, domain, phase }: IReplicaGroup,
     views: EngineViews,
-  ): IStandingGroup {
+  ): IPlannerGroup {
     return {
       group: plan.group,
       model: plan.model,
@@ -245,20 +253,21 @@
       isServing: phase === GroupPhase.Serving,
       members: plan.members
         .flatMap((member) => views.get(member) ?? [])
-        .map((view) => this.#holding(view)),
+        .map((view) => this.#plannerEngine(view)),
     };
   }
 
-  #holding(view: IEngineView): IHoldingEngine {
-    const reportLag = (this.#parts.engine()?.reportLag ?? 0) + LAG_MARGIN;
+  #plannerEngine(view: IEngineView): IPlannerEngine {
+    const reportLag =
+      (this.#parts.engine()?.reportLag ?? 0) + REPORT_LAG_MARGIN;
     return {
       view,
-      loaded: this.#loaded.of(view),
-      isUnconfirmed: this.#loaded.isUnconfirmed(view, reportLag),
+      loaded: this.#loadedModels.modelOf(view),
+      isUnconfirmed: this.#loadedModels.isUnconfirmed(view, reportLag),
     };
   }
 
-  #newPlan(model: string, members: readonly InstanceId[]): IGroupPlan {
+  #createPlan(model: string, members: readonly InstanceId[]): IGroupPlan {
     const epoch = this.#parts.nextEpoch();
     return { group: `group-${epoch}`, epoch, model, members };
   }
@@ -272,68 +281,68 @@
       return;
     }
     this.#warming.add(id);
-    const numbered = this.#newPlan(model, [id]);
+    const numbered = this.#createPlan(model, [id]);
     const plan = { ...numbered, group: warmGroupName(numbered.epoch) };
-    this.#order({ engine: id, order: { kind: OrderKind.Join, plan } });
+    this.#sendOrder({ engine: id, order: { kind: OrderKind.Join, plan } });
   }
 
   #stage(id: InstanceId, model: string, now: MonotonicTime): void {
-    const loadTime = this.#modelNamed(model)?.loadTime ?? 0;
-    this.#allowance.began(now);
-    this.#staging.began(id, model, { now, loadTime });
-    this.#order({ engine: id, order: { kind: OrderKind.Stage, model } });
+    const loadTime = this.#findModel(model)?.loadTime ?? 0;
+    this.#allowance.recordLoad(now);
+    this.#staging.handleStarted(id, model, { now, loadTime });
+    this.#sendOrder({ engine: id, order: { kind: OrderKind.Stage, model } });
   }
 
-  #order({ engine, order }: IAddressedOrder): void {
-    const target = this.#watch.views.get(engine)?.target;
+  #sendOrder({ engine, order }: IAddressedOrder): void {
+    const target = this.#monitor.views.get(engine)?.target;
     if (target !== undefined) {
-      this.#desk.send(target, order, (outcome) =>
-        this.#orderEnded({ engine, order }, outcome),
+      this.#dispatcher.send(target, order, (outcome) =>
+        this.#handleOutcome({ engine, order }, outcome),
       );
     }
   }
 
-  #orderEnded(sent: IAddressedOrder, outcome: OrderOutcome): void {
+  #handleOutcome(sent: IAddressedOrder, outcome: OrderOutcome): void {
     const { engine, order } = sent;
     this.#parts.log.info("order", {
       engine,
       order: order.kind,
-      about: aboutOf(order),
+      about: subjectOf(order),
       outcome,
     });
     const isTaken = outcome === OrderOutcome.Accepted;
     if (order.kind === OrderKind.Open && isTaken) {
-      this.#keeper.opened(order.group, this.#now);
+      this.#controller.handleOpened(order.group, this.#now);
     } else if (order.kind === OrderKind.Leave && isTaken) {
-      this.#keeper.left(order.group);
+      this.#controller.handleLeft(order.group);
     } else if (order.kind === OrderKind.Join) {
       this.#warming.delete(engine);
-      const view = this.#watch.views.get(engine);
+      const view = this.#monitor.views.get(engine);
       if (outcome === OrderOutcome.Accepted) {
         if (view !== undefined) {
-          this.#loaded.joined(view, order.plan.model, this.#now);
+          this.#loadedModels.recordJoin(view, order.plan.model, this.#now);
         }
-        this.#keeper.joined(order.plan.group, engine, this.#now);
+        this.#controller.handleJoined(order.plan.group, engine, this.#now);
       } else if (outcome === OrderOutcome.Refused) {
-        this.#keeper.refused(order.plan.group, this.#now);
+        this.#controller.handleRefused(order.plan.group, this.#now);
       }
     } else if (
       order.kind === OrderKind.Stage &&
       outcome !== OrderOutcome.Accepted
     ) {
-      this.#staging.failed(engine);
+      this.#staging.handleFailed(engine);
     }
   }
 
   /** A line a domain: its groups, and its free instances by what they hold. */
   #logDomains(): void {
-    if (!this.#watch.isSurveyed) {
+    if (!this.#monitor.isSurveyComplete) {
       return;
     }
-    const free = this.#keeper.free(this.#watch.views);
-    const slow = slowEngines(this.#watch.views.values());
-    const lines = summarizeDomains(this.#keeper.groups, free, {
-      isStaging: (id) => this.#staging.isLoading(id),
+    const free = this.#controller.freeEngines(this.#monitor.views);
+    const slow = findSlowEngines(this.#monitor.views.values());
+    const lines = summarizeDomains(this.#controller.groups, free, {
+      isStaging: (id) => this.#staging.isStaging(id),
       isSlow: (id) => slow.has(id),
     });
     const demand = [...this.#parts.demand()].join(" ");
@@ -343,11 +352,11 @@
   }
 
   #reportChanges(isFirstLook: boolean): void {
-    const changes = this.#keeper.takeChanges();
+    const changes = this.#controller.takeChanges();
     for (const change of changes) {
       this.#log(change);
     }
-    const paces = this.serving.map(({ pace }) => pace).join();
+    const paces = this.servingGroups.map(({ pace }) => pace).join();
     if (isFirstLook || changes.length > 0 || paces !== this.#paces) {
       this.#paces = paces;
       this.#parts.onTableChanged();
@@ -366,7 +375,7 @@
     });
   }
 
-  #modelNamed(name: string): IModel | null {
+  #findModel(name: string): IModel | null {
     const models = this.#parts.engine()?.models ?? [];
     return models.find((model) => model.name === name) ?? null;
   }
@@ -376,7 +385,7 @@
   }
 }
 
-function aboutOf(order: EngineOrder): string {
+function subjectOf(order: EngineOrder): string {
   switch (order.kind) {
     case OrderKind.Join:
       return order.plan.group;
--- a/src/common/replicas/serving_table.ts
+++ b/src/common/replicas/serving_table.ts
@@ -1,21 +1,21 @@
 /** The groups that take requests, as the other processes are told of them. */
 import type { IServingGroup } from "../calls/serving_groups.ts";
 import type { ServiceName } from "../types.ts";
-import type { EngineViews } from "./group_keeper.ts";
+import type { EngineViews } from "./group_controller.ts";
 import { GroupPhase } from "./replica_group.ts";
 import type { IReplicaGroup } from "./replica_group.ts";
 
 /** What all groups of the table have in common. */
-export interface ITableOptions {
+export interface IServingTableOptions {
   readonly service: ServiceName;
   readonly slots: number;
 }
 
 /** Those that serve, and those that only finish what they have. */
-export function servingTable(
+export function buildServingTable(
   groups: readonly IReplicaGroup[],
   views: EngineViews,
-  options: ITableOptions,
+  options: IServingTableOptions,
 ): readonly IServingGroup[] {
   return groups.flatMap((group) => entryOf(group, views, options));
 }
@@ -23,7 +23,7 @@
 function entryOf(
   { plan, head, phase }: IReplicaGroup,
   views: EngineViews,
-  { service, slots }: ITableOptions,
+  { service, slots }: IServingTableOptions,
 ): readonly IServingGroup[] {
   const view = views.get(head ?? "");
   const isServing =
@@ -43,7 +43,7 @@
       slots,
       takesWork: phase === GroupPhase.Serving,
       pace: Math.max(...members.map((member) => member?.pace ?? 1)),
-      isZoneOnly: members.some((member) => member?.isOutOfReach),
+      isZoneOnly: members.some((member) => member?.isUnreachable),
     },
   ];
 }
--- a/src/common/replicas/slow_engines.ts
+++ b/src/common/replicas/slow_engines.ts
@@ -14,9 +14,9 @@
  */
 import type { IModel } from "../calls/types.ts";
 import type { InstanceId } from "../types.ts";
-import type { IEngineView } from "./engine_book.ts";
-import { isFit } from "./holding_engine.ts";
-import type { IHoldingEngine, IStandingGroup } from "./holding_engine.ts";
+import type { IEngineView } from "./engine_registry.ts";
+import { canJoinWithoutLoad } from "./model_readiness.ts";
+import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
 
 /**
  * Multiple of the median pace from which an engine is slow: forming a group
@@ -26,7 +26,7 @@
 const SLOW_FACTOR = 2;
 
 /** The engines that are slow beside the others. */
-export function slowEngines(
+export function findSlowEngines(
   views: Iterable<IEngineView>,
 ): ReadonlySet<InstanceId> {
   const known = [...views].filter(
@@ -38,12 +38,12 @@
   return new Set(slow.map(({ target }) => target.id));
 }
 
-/** What stands, for {@link groupsToReplace}. */
-export interface ISlowSituation {
+/** What stands, for {@link findGroupsToReplace}. */
+export interface IReplacementInput {
   readonly models: readonly IModel[];
   /** Free instances that are not slow. */
-  readonly free: readonly IHoldingEngine[];
-  readonly standing: readonly IStandingGroup[];
+  readonly free: readonly IPlannerEngine[];
+  readonly standing: readonly IPlannerGroup[];
   readonly slow: ReadonlySet<InstanceId>;
 }
 
@@ -51,9 +51,11 @@
  * Serving groups with slow members to be given up: only where their sound
  * members and the free instances of the domain make a group of some model.
  */
-export function groupsToReplace(situation: ISlowSituation): readonly string[] {
+export function findGroupsToReplace(
+  situation: IReplacementInput,
+): readonly string[] {
   const { models, free, standing, slow } = situation;
-  const sound = new Map<string, readonly IHoldingEngine[]>();
+  const sound = new Map<string, readonly IPlannerEngine[]>();
   for (const engine of free) {
     const domain = engine.view.state?.domain ?? "";
     sound.set(domain, [...(sound.get(domain) ?? []), engine]);
@@ -72,11 +74,12 @@
 }
 
 function makesGroup(
-  pool: readonly IHoldingEngine[],
+  pool: readonly IPlannerEngine[],
   models: readonly IModel[],
 ): boolean {
   return models.some(
     (model) =>
-      pool.filter((engine) => isFit(engine, model)).length >= model.size,
+      pool.filter((engine) => canJoinWithoutLoad(engine, model)).length >=
+      model.size,
   );
 }
--- a/src/common/replicas/smoothed_demand.ts
+++ b/src/common/replicas/smoothed_demand.ts
@@ -5,7 +5,7 @@
 import type { MonotonicTime } from "../types.ts";
 
 /** Time constant of the average, milliseconds: about three run times. */
-const MEMORY = 3_000;
+const TIME_CONSTANT = 3_000;
 
 /** An exponential average of each model's count. */
 export class SmoothedDemand {
@@ -13,12 +13,12 @@
   #takenAt: MonotonicTime | null = null;
 
   /** Takes the present counts and returns the averages. */
-  take(
+  update(
     counts: ReadonlyMap<string, number>,
     now: MonotonicTime,
   ): ReadonlyMap<string, number> {
-    const gap = this.#takenAt === null ? MEMORY : now - this.#takenAt;
-    const weight = 1 - Math.exp(-gap / MEMORY);
+    const gap = this.#takenAt === null ? TIME_CONSTANT : now - this.#takenAt;
+    const weight = 1 - Math.exp(-gap / TIME_CONSTANT);
     this.#takenAt = now;
     for (const model of new Set([...counts.keys(), ...this.#averages.keys()])) {
       const before = this.#averages.get(model) ?? 0;
--- a/src/common/replicas/staging_book.ts
+++ b/src/common/replicas/staging_tracker.ts
@@ -1,9 +1,9 @@
 /** The loads onto hosts that were ordered and are not seen to have ended. */
 import type { InstanceId, MonotonicTime } from "../types.ts";
-import type { EngineViews } from "./group_keeper.ts";
+import type { EngineViews } from "./group_controller.ts";
 
 /** A load that is not seen by then is given up, in load times. */
-const PATIENCE_FACTOR = 2.5;
+const TIMEOUT_FACTOR = 2.5;
 
 interface IStaging {
   readonly model: string;
@@ -11,7 +11,7 @@
 }
 
 /** Loads by engine. */
-export class StagingBook {
+export class StagingTracker {
   readonly #loads = new Map<InstanceId, IStaging>();
 
   /** The model that each engine loads. */
@@ -19,26 +19,26 @@
     return new Map([...this.#loads].map(([id, { model }]) => [id, model]));
   }
 
-  isLoading(id: InstanceId): boolean {
+  isStaging(id: InstanceId): boolean {
     return this.#loads.has(id);
   }
 
-  began(
+  handleStarted(
     id: InstanceId,
     model: string,
     times: { readonly now: MonotonicTime; readonly loadTime: number },
   ): void {
-    const until = times.now + times.loadTime * PATIENCE_FACTOR;
+    const until = times.now + times.loadTime * TIMEOUT_FACTOR;
     this.#loads.set(id, { model, until });
   }
 
   /** The order was not taken. */
-  failed(id: InstanceId): void {
+  handleFailed(id: InstanceId): void {
     this.#loads.delete(id);
   }
 
   /** Drops what a report shows to be on the host, and what took too long. */
-  expire(views: EngineViews, now: MonotonicTime): void {
+  removeEnded(views: EngineViews, now: MonotonicTime): void {
     for (const [id, { model, until }] of this.#loads) {
       const isDone = views.get(id)?.state?.staged.includes(model) ?? false;
       if (isDone || now >= until) {
--- a/src/common/replicas/types.ts
+++ b/src/common/replicas/types.ts
@@ -64,14 +64,14 @@
 }
 
 /** Reports from engines and orders to them. */
-export interface IEngines {
+export interface IEngineClient {
   /** @param timeout - milliseconds */
-  report(
+  fetchReport(
     engine: IEngineAddress,
     timeout: number,
   ): Promise<Result<IEngineReport, ICallFailure>>;
   /** @param timeout - milliseconds */
-  order(
+  sendOrder(
     engine: IEngineAddress,
     order: EngineOrder,
     timeout: number,
