--- a/src/common/services/admission_service.ts
+++ b/src/common/services/admission_service.ts
@@ -1,12 +1,12 @@
 /**
  * Lets requests in by plan, deadline and room, and keeps the others waiting or
- * turns them away at once. The decisions are made by {@link AccountUse} and
+ * turns them away at once. The decisions are made by {@link AccountAdmission} and
  * {@link ServiceScheduler}; this turns their actions into answers.
  */
-import { AccountUse } from "../decisions/admission.ts";
+import { AccountAdmission } from "../decisions/account_admission.ts";
 import { ScheduleActionKind } from "../decisions/service_scheduler.ts";
 import type { ScheduleAction } from "../decisions/service_scheduler.ts";
-import type { IWork } from "../decisions/work.ts";
+import type { IWorkItem } from "../decisions/work_item.ts";
 import { Reason } from "../types.ts";
 import type { AccountName, IRefusal, ServiceName } from "../types.ts";
 import type { GroupDirectory } from "./group_directory.ts";
@@ -31,7 +31,7 @@
 }
 
 /** A request that was let in. */
-export interface IAdmitted {
+export interface IAdmission {
   /**
    * It has had its final answer; calling it again does nothing.
    *
@@ -43,8 +43,8 @@
 /** Decides which requests run, which wait and which are turned away. */
 export class AdmissionService {
   readonly #parts: IAdmissionParts;
-  readonly #uses = new Map<AccountName, AccountUse>();
-  readonly #waiting = new Map<IWork, (refusal: IRefusal | null) => void>();
+  readonly #uses = new Map<AccountName, AccountAdmission>();
+  readonly #waiting = new Map<IWorkItem, (refusal: IRefusal | null) => void>();
   readonly #ticking = new Set<ServiceName>();
 
   constructor(parts: IAdmissionParts) {
@@ -52,7 +52,7 @@
   }
 
   /** Resolves when the request may run, or with the final word. */
-  async enter(request: ICallerRequest): Promise<IAdmitted | IRefusal> {
+  async admit(request: ICallerRequest): Promise<IAdmission | IRefusal> {
     const work = workOf(request);
     const asked = work.isCall ? 0 : work.askedTokens;
     const { plan } = request.account;
@@ -64,11 +64,11 @@
     }
     const admitted = await this.#enterZone(request, work);
     if ("outcome" in admitted) {
-      use.finished(asked, 0);
+      use.finish(asked, 0);
       return admitted;
     }
     return once((tokens) => {
-      use.finished(asked, Math.min(asked, tokens ?? 0));
+      use.finish(asked, Math.min(asked, tokens ?? 0));
       admitted.finish(tokens);
     });
   }
@@ -77,9 +77,9 @@
    * Resolves when a request handed over by another zone may run here, or with
    * the final word. Its plan was looked at where the caller asked.
    */
-  async enterHandedOver(
+  async admitForwarded(
     request: ICallerRequest,
-  ): Promise<IAdmitted | IRefusal> {
+  ): Promise<IAdmission | IRefusal> {
     const work = workOf(request);
     const refusal = await this.#wait(request, work);
     return refusal === null
@@ -90,8 +90,8 @@
   /** Work that only another zone can do does not wait for room in this one. */
   async #enterZone(
     request: ICallerRequest,
-    work: IWork,
-  ): Promise<IAdmitted | IRefusal> {
+    work: IWorkItem,
+  ): Promise<IAdmission | IRefusal> {
     const { groups, isServedElsewhere } = this.#parts;
     const { name } = request.service;
     if (!groups.refresh(name) && isServedElsewhere(name)) {
@@ -104,7 +104,7 @@
   }
 
   /** Resolves with null when there is room for the work. */
-  #wait(request: ICallerRequest, work: IWork): Promise<IRefusal | null> {
+  #wait(request: ICallerRequest, work: IWorkItem): Promise<IRefusal | null> {
     const { clock, groups } = this.#parts;
     const { name } = request.service;
     if (!groups.refresh(name)) {
@@ -115,7 +115,7 @@
     return new Promise((resolve) => {
       const scheduler = groups.schedulerOf(name);
       const leave = () => {
-        if (scheduler.withdraw(work)) {
+        if (scheduler.cancel(work)) {
           this.#settle(work, notRun(Reason.CallerLeft, "the caller is gone"));
         }
       };
@@ -124,15 +124,19 @@
         resolve(refusal);
       });
       request.signal.addEventListener("abort", leave);
-      this.#apply(scheduler.offer(work, clock.now()));
+      this.#apply(scheduler.submit(work, clock.now()));
       this.#tick(name);
     });
   }
 
-  #leave(request: ICallerRequest, work: IWork, tokens: number | null): void {
+  #leave(
+    request: ICallerRequest,
+    work: IWorkItem,
+    tokens: number | null,
+  ): void {
     const { clock, groups } = this.#parts;
     const scheduler = groups.schedulerOf(request.service.name);
-    this.#apply(scheduler.finished(work, tokens, clock.now()));
+    this.#apply(scheduler.finish(work, tokens, clock.now()));
   }
 
   #apply(actions: readonly ScheduleAction[]): void {
@@ -147,7 +151,7 @@
     }
   }
 
-  #settle(work: IWork, refusal: IRefusal | null): void {
+  #settle(work: IWorkItem, refusal: IRefusal | null): void {
     this.#waiting.get(work)?.(refusal);
     this.#waiting.delete(work);
   }
@@ -156,8 +160,8 @@
   #tick(service: ServiceName): void {
     const { clock, groups, metrics } = this.#parts;
     const scheduler = groups.schedulerOf(service);
-    metrics.gauge("waiting", scheduler.waiting, { service });
-    if (scheduler.waiting === 0 || this.#ticking.has(service)) {
+    metrics.gauge("waiting", scheduler.queueSize, { service });
+    if (scheduler.queueSize === 0 || this.#ticking.has(service)) {
       return;
     }
     this.#ticking.add(service);
@@ -174,15 +178,15 @@
     return refusal;
   }
 
-  #useOf(account: AccountName): AccountUse {
-    const use = this.#uses.get(account) ?? new AccountUse();
+  #useOf(account: AccountName): AccountAdmission {
+    const use = this.#uses.get(account) ?? new AccountAdmission();
     this.#uses.set(account, use);
     return use;
   }
 }
 
 /** An admission whose end counts only the first time. */
-function once(end: (tokens: number | null) => void): IAdmitted {
+function once(end: (tokens: number | null) => void): IAdmission {
   let isFinished = false;
   const finish = (tokens: number | null) => {
     if (!isFinished) {
--- a/src/common/services/once_runner.ts
+++ b/src/common/services/at_most_once_runner.ts
@@ -4,8 +4,8 @@
 import { RunState } from "../runs/run_record.ts";
 import { CallFailureKind, Reason } from "../types.ts";
 import type { ICallFailure, IRefusal } from "../types.ts";
-import type { GroupDirectory, IPlace } from "./group_directory.ts";
-import { notRun, unknown } from "./refusal.ts";
+import type { GroupDirectory, IChosenTarget } from "./group_directory.ts";
+import { notRun, outcomeUnknown } from "./refusal.ts";
 import type { IRunPermit, RunRecordService } from "./run_record_service.ts";
 import type { IClock, ITargets } from "./services.ts";
 import type { IBufferedAnswer, ICallerRequest } from "./types.ts";
@@ -35,7 +35,7 @@
 type RunResult = Result<IBufferedAnswer, IRefusal>;
 
 /** What a run that may not be repeated needs. */
-export interface IOnceParts {
+export interface IAtMostOnceParts {
   readonly groups: GroupDirectory;
   readonly targets: ITargets;
   readonly records: RunRecordService;
@@ -47,11 +47,11 @@
  * its leaving cancelled the call, the target might act and its answer be lost,
  * and the caller's next try would be told "unknown" for nothing.
  */
-export class OnceRunner {
-  readonly #parts: IOnceParts;
+export class AtMostOnceRunner {
+  readonly #parts: IAtMostOnceParts;
   readonly #runs = new Set<Promise<RunResult>>();
 
-  constructor(parts: IOnceParts) {
+  constructor(parts: IAtMostOnceParts) {
     this.#parts = parts;
   }
 
@@ -120,7 +120,7 @@
       const { kind, detail } = answer.error;
       if (kind === CallFailureKind.Unknown) {
         await records.finish(permit, RunState.Unknown, null);
-        return Err(unknown(Reason.TargetLost, detail));
+        return Err(outcomeUnknown(Reason.TargetLost, detail));
       }
       avoid.add(place.id);
       refusal = notRun(Reason.TargetRefused, detail, NO_TARGET_RETRY_AFTER);
@@ -131,10 +131,10 @@
 
   async #call(
     request: ICallerRequest,
-    place: IPlace,
+    place: IChosenTarget,
   ): Promise<Result<unknown, ICallFailure>> {
     const { clock, groups, targets } = this.#parts;
-    const end = groups.begin(place);
+    const end = groups.beginRequest(place);
     const { requestId, operation, body } = request;
     const timeout = request.deadline - clock.now() + LISTENING_GRACE;
     const call = {
@@ -147,7 +147,7 @@
     try {
       const nobodyCancels = new AbortController().signal;
       const answer = await targets.call(place.address, call, nobodyCancels);
-      groups.heard(place, answer.isOk() ? 1 : 0);
+      groups.recordTokens(place, answer.isOk() ? 1 : 0);
       return answer;
     } finally {
       end();
@@ -166,7 +166,7 @@
       const timer = clock.after(left, () => {
         const detail = "still running at its deadline; ask again with its key";
         const retryAfter = LATE_RETRY_AFTER;
-        resolve(Err(unknown(Reason.DeadlinePassed, detail, retryAfter)));
+        resolve(Err(outcomeUnknown(Reason.DeadlinePassed, detail, retryAfter)));
       });
       cancel = () => timer.dispose();
     });
@@ -175,7 +175,10 @@
     return result;
   }
 
-  #choose(request: ICallerRequest, avoid: ReadonlySet<string>): IPlace | null {
+  #choose(
+    request: ICallerRequest,
+    avoid: ReadonlySet<string>,
+  ): IChosenTarget | null {
     return this.#parts.groups.choosePlain(request, avoid);
   }
 }
--- a/src/common/services/call_dispatcher.ts
+++ b/src/common/services/call_dispatcher.ts
@@ -3,11 +3,11 @@
 import type { Result } from "ts-results-es";
 import { AnswerKind, Reason, ServiceKind } from "../types.ts";
 import type { IRefusal } from "../types.ts";
-import type { AdmissionService, IAdmitted } from "./admission_service.ts";
+import type { AdmissionService, IAdmission } from "./admission_service.ts";
 import { collectAnswer } from "./collect_answer.ts";
 import type { TokenBatch } from "./forwarding.ts";
 import { notRun } from "./refusal.ts";
-import type { ServiceRunner } from "./service_runner.ts";
+import type { PlainServiceRunner } from "./plain_service_runner.ts";
 import type { IClock, IMetrics } from "./services.ts";
 import type { SpillingEngineRunner } from "./spilling_engine_runner.ts";
 import type { CallerAnswer, ICallerRequest } from "./types.ts";
@@ -16,7 +16,7 @@
 export class CallDispatcher {
   readonly #admission: AdmissionService;
   readonly #engines: SpillingEngineRunner;
-  readonly #services: ServiceRunner;
+  readonly #services: PlainServiceRunner;
   readonly #clock: IClock;
   readonly #metrics: IMetrics;
   #inFlight = 0;
@@ -24,7 +24,7 @@
   constructor(parts: {
     readonly admission: AdmissionService;
     readonly engines: SpillingEngineRunner;
-    readonly services: ServiceRunner;
+    readonly services: PlainServiceRunner;
     readonly clock: IClock;
     readonly metrics: IMetrics;
   }) {
@@ -50,7 +50,7 @@
       return Err(notRun(Reason.NotInPlan, detail));
     }
     this.#inFlight += 1;
-    const admitted = await this.#admission.enter(request);
+    const admitted = await this.#admission.admit(request);
     if ("outcome" in admitted) {
       this.#inFlight -= 1;
       return Err(admitted);
@@ -66,7 +66,7 @@
 
   async #buffered(
     request: ICallerRequest,
-    admitted: IAdmitted,
+    admitted: IAdmission,
   ): Promise<Result<CallerAnswer, IRefusal>> {
     const isEngine = request.service.kind === ServiceKind.Engine;
     let tokens: number | null = null;
@@ -86,7 +86,7 @@
   /** Ends the accounting of a stream when its consumer is done with it. */
   async *#stream(
     request: ICallerRequest,
-    admitted: IAdmitted,
+    admitted: IAdmission,
   ): AsyncIterable<TokenBatch> {
     let tokens = 0;
     let isWhole = false;
@@ -105,7 +105,7 @@
 
   #finish(
     request: ICallerRequest,
-    admitted: IAdmitted,
+    admitted: IAdmission,
     tokens: number | null,
   ): void {
     this.#inFlight -= 1;
--- a/src/common/services/collect_answer.ts
+++ b/src/common/services/collect_answer.ts
@@ -4,7 +4,7 @@
 import { Reason } from "../types.ts";
 import type { IRefusal } from "../types.ts";
 import type { TokenBatch } from "./forwarding.ts";
-import { unknown } from "./refusal.ts";
+import { outcomeUnknown } from "./refusal.ts";
 import type { IBufferedAnswer } from "./types.ts";
 
 /** The whole answer, or why there is none; never a part of it. */
@@ -23,5 +23,5 @@
       parts.push(token.text);
     }
   }
-  return Err(unknown(Reason.TargetLost, "the answer ended early"));
+  return Err(outcomeUnknown(Reason.TargetLost, "the answer ended early"));
 }
--- a/src/common/services/daemon_list.ts
+++ b/src/common/services/daemon_list.ts
@@ -31,13 +31,13 @@
 const READINGS_BEFORE_REMOVAL = 3;
 
 /** What the rest of the daemon tells the list. */
-export interface IListNeeds {
+export interface IDaemonListCallbacks {
   /** Whether no other daemon of the zone is known. */
   readonly isAlone: () => boolean;
   readonly isDelegate: () => boolean;
   /** Whether an entry of this zone is live by membership. */
   readonly isLive: (entry: IDaemonEntry) => boolean;
-  readonly learned: (entries: readonly IDaemonEntry[]) => void;
+  readonly onEntriesRead: (entries: readonly IDaemonEntry[]) => void;
 }
 
 /** Registers this daemon, and reads who else did. */
@@ -46,7 +46,7 @@
   readonly #clock: IClock;
   readonly #random: IRandom;
   readonly #self: IDaemonEntry;
-  readonly #needs: IListNeeds;
+  readonly #needs: IDaemonListCallbacks;
   readonly #retry: Backoff;
   readonly #owned = new DisposableStore();
   readonly #missing = new Map<string, number>();
@@ -59,7 +59,7 @@
       readonly random: IRandom;
     },
     self: IDaemonEntry,
-    needs: IListNeeds,
+    needs: IDaemonListCallbacks,
   ) {
     this.#platform = ports.platform;
     this.#clock = ports.clock;
@@ -111,7 +111,9 @@
     const { entries, findings } = readDaemonEntries(objects);
     this.#findings = findings;
     const { daemon } = this.#self;
-    this.#needs.learned(entries.filter((entry) => entry.daemon !== daemon));
+    this.#needs.onEntriesRead(
+      entries.filter((entry) => entry.daemon !== daemon),
+    );
     if (!entries.some((entry) => entry.daemon === daemon)) {
       return this.#register();
     }
--- a/src/common/services/daemon_status.ts
+++ b/src/common/services/daemon_status.ts
@@ -5,7 +5,7 @@
 import { wholeFileFinding } from "../plans/findings.ts";
 import type { IFinding } from "../plans/types.ts";
 import type { IReplicaGroup } from "../groups/types.ts";
-import type { IZoneSummary } from "../membership/zone_links.ts";
+import type { IZoneSummary } from "../membership/zone_directory.ts";
 import type { IAlarm } from "./alarms.ts";
 import type {
   IDaemonEntry,
--- a/src/common/services/digest_service.ts
+++ b/src/common/services/digest_service.ts
@@ -1,8 +1,8 @@
 /** Shares polled reports of targets between the daemons of a zone. */
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
-import { DigestBoard } from "../membership/digest_board.ts";
-import { chooseSource } from "../membership/digest_ring.ts";
+import { DigestTable } from "../membership/digest_table.ts";
+import { choosePullSource } from "../membership/digest_ring.ts";
 import type { IDigestRow, IHeldRow } from "../membership/digest_types.ts";
 import type { IPeers } from "../membership/peers.ts";
 import type { IMember } from "../membership/types.ts";
@@ -25,7 +25,7 @@
   readonly #ports: IDigestPorts;
   readonly #period: number;
   readonly #self: string;
-  readonly #board: DigestBoard;
+  readonly #board: DigestTable;
   readonly #owned = new DisposableStore();
   #isPulling = false;
   #pulls = 0;
@@ -38,7 +38,7 @@
     this.#ports = ports;
     this.#period = options.period;
     this.#self = options.self;
-    this.#board = new DigestBoard(ports.hash.hash(options.self));
+    this.#board = new DigestTable(ports.hash.hash(options.self));
   }
 
   start(): void {
@@ -47,10 +47,10 @@
   }
 
   /** Answers a peer's pull with what is fresher here. */
-  answer(held: readonly IHeldRow[]): readonly IDigestRow[] {
+  answerPull(held: readonly IHeldRow[]): readonly IDigestRow[] {
     const { clock, directory } = this.#ports;
     this.#board.publish(directory.ownReports());
-    return this.#board.answer(held, clock.now());
+    return this.#board.fresherRows(held, clock.now());
   }
 
   dispose(): void {
@@ -67,11 +67,11 @@
     metrics.count("peer_calls", { call: "digests" });
     this.#board.publish(directory.ownReports());
     const askedAt = clock.now();
-    const held = this.#board.held(askedAt);
+    const held = this.#board.heldRows(askedAt);
     const answer = await peers.pullDigests(peer.peerAddress, held);
     this.#isPulling = false;
     if (answer.isOk()) {
-      directory.offer(this.#board.take(answer.value, askedAt));
+      directory.mergeReports(this.#board.merge(answer.value, askedAt));
     }
   }
 
@@ -81,7 +81,7 @@
     this.#pulls += 1;
     const ring = { self: this.#self, round };
     const daemons = members.map(({ daemon }) => daemon);
-    const chosen = chooseSource(daemons, ring);
+    const chosen = choosePullSource(daemons, ring);
     return members.find(({ daemon }) => daemon === chosen) ?? null;
   }
 }
--- a/src/common/services/domain_service.ts
+++ b/src/common/services/domain_controller.ts
@@ -7,15 +7,15 @@
   DOMAIN_KIND,
 } from "../groups/domain_record_schema.ts";
 import { LeaseState } from "../groups/lease_machine.ts";
-import { planGroups } from "../groups/formation.ts";
+import { planGroupChange } from "../groups/formation.ts";
 import type {
   IFormationPolicy,
   IFormationView,
   IWantedGroups,
 } from "../groups/formation.ts";
-import { MemberWatch } from "../groups/member_watch.ts";
-import type { IWatchPolicy } from "../groups/member_watch.ts";
-import { isBehind, planOrders } from "../groups/orders.ts";
+import { MemberMonitor } from "../groups/member_monitor.ts";
+import type { IMemberMonitorPolicy } from "../groups/member_monitor.ts";
+import { isRecordStale, planOrders } from "../groups/orders.ts";
 import { LeaseActionKind } from "../groups/types.ts";
 import type {
   IDomainRecord,
@@ -67,19 +67,19 @@
   readonly domain: DomainName;
   readonly lease: ILeaseTiming;
   readonly formation: IFormationPolicy;
-  readonly watch: IWatchPolicy;
+  readonly watch: IMemberMonitorPolicy;
   /** How often an observer reads the record, milliseconds. */
   readonly observeEvery: number;
   readonly wanted: () => readonly IWantedGroups[];
 }
 
 /** One fabric domain, as one daemon sees and, when it holds it, runs it. */
-export class DomainService implements IDisposable {
+export class DomainController implements IDisposable {
   readonly #ports: IDomainPorts;
   readonly #options: IDomainOptions;
   readonly #lease: DomainLease;
   readonly #owned = new DisposableStore();
-  readonly #watch: MemberWatch;
+  readonly #watch: MemberMonitor;
   readonly #orders: OrderSender;
   #lastRead = Number.NEGATIVE_INFINITY;
   #isReading = false;
@@ -93,7 +93,7 @@
       options.domain,
       options.lease,
     );
-    this.#watch = new MemberWatch(options.watch);
+    this.#watch = new MemberMonitor(options.watch);
     this.#orders = new OrderSender(ports, () =>
       this.#lease.mayOrder(ports.clock.now()),
     );
@@ -109,7 +109,7 @@
 
   /** The newest record seen, or null. */
   get record(): IDomainRecord | null {
-    return this.#lease.seen?.record ?? null;
+    return this.#lease.lastSeen?.record ?? null;
   }
 
   start(): void {
@@ -125,9 +125,9 @@
    */
   async close(): Promise<void> {
     this.#isClosing = true;
-    await this.#orders.settled();
+    await this.#orders.drain();
     this.#owned.dispose();
-    const actions = this.#lease.giveBack(this.#ports.clock.now());
+    const actions = this.#lease.release(this.#ports.clock.now());
     await Promise.all(actions.map((action) => this.#perform(action)));
   }
 
@@ -139,7 +139,7 @@
     const now = this.#ports.clock.now();
     this.#performAll(this.#lease.tick(now));
     const view = this.#view(now);
-    this.#watch.look(view.instances, view.reports, now);
+    this.#watch.update(view.instances, view.reports, now);
     if (this.#isReadDue(view)) {
       void this.#read();
     }
@@ -158,7 +158,7 @@
     return (
       elapsed >= observeEvery * SELDOM ||
       this.record === null ||
-      isBehind(this.record, view) ||
+      isRecordStale(this.record, view) ||
       this.#ports.live.isChosen(duty, OBSERVERS)
     );
   }
@@ -171,9 +171,9 @@
     const view = this.#view(now);
     const policy = this.#options.formation;
     const wanted = this.#options.wanted();
-    const next = planGroups(record, wanted, view, policy);
+    const next = planGroupChange(record, wanted, view, policy);
     if (next !== null) {
-      this.#performAll(this.#lease.change(next, now));
+      this.#performAll(this.#lease.changeGroups(next, now));
       return;
     }
     for (const order of planOrders(record, view, policy)) {
@@ -187,7 +187,7 @@
       (instance) => instance.domain === this.domain && instance.service === "",
     );
     const { orderedAt } = this.#orders;
-    return { instances: here, reports, now, orderedAt, watch: this.#watch };
+    return { instances: here, reports, now, orderedAt, monitor: this.#watch };
   }
 
   #performAll(actions: readonly LeaseAction[]): void {
@@ -224,7 +224,9 @@
       expectedVersion,
     });
     if (written.isOk()) {
-      this.#performAll(this.#lease.writeTook(record.attempt, written.value));
+      this.#performAll(
+        this.#lease.handleWriteSucceeded(record.attempt, written.value),
+      );
       return;
     }
     const actions = this.#settle(written.error.kind, record.attempt);
@@ -236,11 +238,11 @@
   #settle(failure: WriteFailureKind, attempt: string): readonly LeaseAction[] {
     switch (failure) {
       case WriteFailureKind.Conflict:
-        return this.#lease.writeConflicted(attempt);
+        return this.#lease.handleWriteConflict(attempt);
       case WriteFailureKind.NotApplied:
-        return this.#lease.writeFailed(attempt);
+        return this.#lease.handleWriteFailed(attempt);
       case WriteFailureKind.Unknown:
-        return this.#lease.writeUnknown(attempt);
+        return this.#lease.handleWriteUnknown(attempt);
     }
   }
 
@@ -261,7 +263,7 @@
       return;
     }
     const now = this.#ports.clock.now();
-    this.#performAll(this.#lease.observed(seen, now));
+    this.#performAll(this.#lease.observe(seen, now));
   }
 
   #check(object: IPlatformObject): IVersionedRecord | null {
--- a/src/common/services/engine_runner.ts
+++ b/src/common/services/engine_runner.ts
@@ -4,10 +4,10 @@
 import { z } from "zod";
 import { CallFailureKind, Reason } from "../types.ts";
 import type { ICallFailure, IRefusal, ServiceName } from "../types.ts";
-import { EngineEffort } from "./engine_effort.ts";
-import type { GroupDirectory, IPlace } from "./group_directory.ts";
+import { StreamProgress } from "./stream_progress.ts";
+import type { GroupDirectory, IChosenTarget } from "./group_directory.ts";
 import type { TokenBatch } from "./forwarding.ts";
-import { notRun, unknown } from "./refusal.ts";
+import { notRun, outcomeUnknown } from "./refusal.ts";
 import type { RetryService } from "./retry_service.ts";
 import type {
   IClock,
@@ -51,7 +51,7 @@
 type GenerateBody = z.infer<typeof generateSchema>;
 
 /** What the runner works with. */
-export interface IEngineParts {
+export interface IEngineRunnerParts {
   readonly groups: GroupDirectory;
   readonly retries: RetryService;
   readonly targets: ITargets;
@@ -63,17 +63,17 @@
 }
 
 /** Longest silences of an engine, milliseconds. */
-export interface IEngineBounds {
+export interface IEngineTimeouts {
   readonly firstToken: number;
   readonly nextToken: number;
 }
 
 /** Runs a request for tokens on replica groups of this zone. */
 export class EngineRunner {
-  readonly #parts: IEngineParts;
-  readonly #bounds: IEngineBounds;
+  readonly #parts: IEngineRunnerParts;
+  readonly #bounds: IEngineTimeouts;
 
-  constructor(parts: IEngineParts, bounds: IEngineBounds) {
+  constructor(parts: IEngineRunnerParts, bounds: IEngineTimeouts) {
     this.#parts = parts;
     this.#bounds = bounds;
   }
@@ -92,24 +92,24 @@
       return;
     }
     const { groups, retries } = this.#parts;
-    retries.firstTry(request);
-    using effort = new EngineEffort(request, this.#parts.clock);
-    while (effort.mayTry && (await this.#mayGoOn(effort))) {
+    retries.recordFirstAttempt(request);
+    using effort = new StreamProgress(request, this.#parts.clock);
+    while (effort.mayAttempt && (await this.#mayGoOn(effort))) {
       const place = await this.#choose(request, effort);
       if (place === null) {
         break;
       }
       for await (const batch of this.#attempt(body.data, { place, effort })) {
         if (batch.isErr()) {
-          effort.failed(place.id, batch.error);
+          effort.recordFailure(place.id, batch.error);
           this.#note(request, place, batch.error);
           break;
         }
-        effort.passed(batch.value);
-        groups.heard(place, batch.value.length);
+        effort.recordTokens(batch.value);
+        groups.recordTokens(place, batch.value.length);
         yield Ok(batch.value);
-        groups.resumed(place);
-        if (effort.isWhole) {
+        groups.recordReadResumed(place);
+        if (effort.isComplete) {
           return;
         }
       }
@@ -121,29 +121,31 @@
    * Whether to try. A second try is paid for from the retry budget; a stream
    * already begun always goes on, since its caller would lose what it has.
    */
-  async #mayGoOn(effort: EngineEffort): Promise<boolean> {
+  async #mayGoOn(effort: StreamProgress): Promise<boolean> {
     const isFirst = effort.suspects.size === 0;
     const isBegun = effort.position > 0;
     return (
-      isFirst || isBegun || (await this.#parts.retries.mayRetry(effort.request))
+      isFirst ||
+      isBegun ||
+      (await this.#parts.retries.waitForRetry(effort.request))
     );
   }
 
   /** A group to go on with; a stream already begun waits for one a while. */
   async #choose(
     request: ICallerRequest,
-    effort: EngineEffort,
-  ): Promise<IPlace | null> {
+    effort: StreamProgress,
+  ): Promise<IChosenTarget | null> {
     const { clock, groups } = this.#parts;
     const since = clock.now();
     for (;;) {
       const waited = clock.now() - since;
       if (waited >= FORGIVE_AFTER) {
-        effort.forgive();
+        effort.clearExcluded();
       }
       const place =
         groups.chooseGroup(request, effort.suspects) ??
-        groups.chooseGroup(request, effort.givenUp);
+        groups.chooseGroup(request, effort.excluded);
       const isBegun = effort.position > 0;
       const isTimeLeft = waited < LONGEST_WAIT_FOR_GROUP;
       const mayWait = isBegun && isTimeLeft && !this.#isElsewhere(request);
@@ -165,7 +167,7 @@
 
   async *#attempt(
     body: GenerateBody,
-    on: { readonly place: IPlace; readonly effort: EngineEffort },
+    on: { readonly place: IChosenTarget; readonly effort: StreamProgress },
   ): AsyncIterable<Result<readonly IEngineToken[], ICallFailure>> {
     const { place, effort } = on;
     const { groups, targets } = this.#parts;
@@ -189,7 +191,7 @@
       nextTokenWithin: this.#bounds.nextToken,
       signal: effort.signal,
     };
-    const end = groups.begin(place);
+    const end = groups.beginRequest(place);
     try {
       yield* targets.generate(place.address, call, options);
     } finally {
@@ -197,7 +199,11 @@
     }
   }
 
-  #note(request: ICallerRequest, place: IPlace, failure: ICallFailure): void {
+  #note(
+    request: ICallerRequest,
+    place: IChosenTarget,
+    failure: ICallFailure,
+  ): void {
     const { kind, detail } = failure;
     this.#parts.metrics.count("engine_attempts_failed", { kind });
     this.#parts.log.warn("engine_attempt_failed", {
@@ -208,15 +214,15 @@
     });
   }
 
-  #giveUp(effort: EngineEffort): IRefusal {
+  #giveUp(effort: StreamProgress): IRefusal {
     const { request, mayHaveRun } = effort;
     const { name } = request.service;
     if (request.signal.aborted) {
-      return unknown(Reason.CallerLeft, "the caller is gone");
+      return outcomeUnknown(Reason.CallerLeft, "the caller is gone");
     }
-    if (effort.isLate) {
+    if (effort.isDeadlinePassed) {
       const detail = "the answer was not whole by its deadline";
-      const say = mayHaveRun ? unknown : notRun;
+      const say = mayHaveRun ? outcomeUnknown : notRun;
       return say(Reason.DeadlinePassed, detail);
     }
     if (!mayHaveRun) {
@@ -224,6 +230,6 @@
       return notRun(Reason.NoReplica, detail, NO_REPLICA_RETRY_AFTER);
     }
     const detail = `the replica groups of ${name} broke off`;
-    return unknown(Reason.TargetLost, detail, NO_REPLICA_RETRY_AFTER);
+    return outcomeUnknown(Reason.TargetLost, detail, NO_REPLICA_RETRY_AFTER);
   }
 }
--- a/src/common/services/forward_service.ts
+++ b/src/common/services/forward_service.ts
@@ -43,7 +43,7 @@
   }
 
   /** Answers a request handed over by another zone. */
-  async *answer(
+  async *serve(
     forwarded: IForwardedRequest,
     signal: AbortSignal,
   ): AsyncIterable<TokenBatch> {
@@ -80,7 +80,7 @@
   }
 
   async *#run(request: ICallerRequest): AsyncIterable<TokenBatch> {
-    const admitted = await this.#admission.enterHandedOver(request);
+    const admitted = await this.#admission.admitForwarded(request);
     if ("outcome" in admitted) {
       yield Err(admitted);
       return;
--- a/src/common/services/group_directory.ts
+++ b/src/common/services/group_directory.ts
@@ -1,24 +1,24 @@
 /** The replica groups of this zone, and which of them may serve now. */
 import { ServiceScheduler } from "../decisions/service_scheduler.ts";
 import type {
-  ITargetReports,
-  ITargetState,
-  ITargetUse,
-} from "../decisions/target_book.ts";
-import type { IWork } from "../decisions/work.ts";
+  ITargetsUpdate,
+  ITargetLoadReport,
+  ITrackedRequest,
+} from "../decisions/target_tracker.ts";
+import type { IWorkItem } from "../decisions/work_item.ts";
 import { isComplete, isFresh } from "../groups/presence.ts";
 import type { IPresenceView } from "../groups/presence.ts";
 import type { IReplicaGroup } from "../groups/types.ts";
 import { InstanceState, ServiceKind, TargetState } from "../types.ts";
 import type { IInstance, ISeenReport, ServiceName } from "../types.ts";
-import type { DomainService } from "./domain_service.ts";
+import type { DomainController } from "./domain_controller.ts";
 import type { IClock, ILiveDaemons, IRandom } from "./services.ts";
 import type { TargetDirectory } from "./target_directory.ts";
 import type { ICallerRequest } from "./types.ts";
 import { workOf } from "./work_of.ts";
 
 /** A replica group or plain target that a request can be sent to. */
-export interface IPlace {
+export interface IChosenTarget {
   /** Of the group, or of the plain target's instance. */
   readonly id: string;
   readonly address: string;
@@ -26,20 +26,20 @@
   readonly group: IReplicaGroup | null;
   readonly service: ServiceName;
   /** What it was chosen for. */
-  readonly work: IWork;
+  readonly work: IWorkItem;
 }
 
 /** What the directory reads. */
 export interface IGroupSources {
   readonly targets: TargetDirectory;
-  readonly domains: () => Iterable<DomainService>;
+  readonly domains: () => Iterable<DomainController>;
   readonly clock: IClock;
   readonly random: IRandom;
   readonly live: ILiveDaemons;
 }
 
 /** Where a service can be served now. */
-interface IServed {
+interface IServableTarget {
   readonly instance: IInstance;
   readonly group: IReplicaGroup | null;
 }
@@ -49,7 +49,7 @@
   readonly #sources: IGroupSources;
   readonly #freshness: number;
   readonly #schedulers = new Map<ServiceName, ServiceScheduler>();
-  readonly #uses = new Map<IPlace, ITargetUse>();
+  readonly #uses = new Map<IChosenTarget, ITrackedRequest>();
 
   constructor(sources: IGroupSources, freshness: number) {
     this.#sources = sources;
@@ -86,7 +86,7 @@
   chooseGroup(
     request: ICallerRequest,
     avoid: ReadonlySet<string>,
-  ): IPlace | null {
+  ): IChosenTarget | null {
     return this.#choose(request, avoid);
   }
 
@@ -94,41 +94,44 @@
   choosePlain(
     request: ICallerRequest,
     avoid: ReadonlySet<string>,
-  ): IPlace | null {
+  ): IChosenTarget | null {
     return this.#choose(request, avoid);
   }
 
   /** Counts a request in flight at a place until the result is called. */
-  begin(place: IPlace): () => void {
+  beginRequest(place: IChosenTarget): () => void {
     const { clock } = this.#sources;
     const { targets } = this.schedulerOf(place.service);
-    const use = targets.begin(place.id, place.work, clock.now());
+    const use = targets.startRequest(place.id, place.work, clock.now());
     this.#uses.set(place, use);
     return () => {
-      targets.end(use, clock.now());
+      targets.endRequest(use, clock.now());
       this.#uses.delete(place);
     };
   }
 
   /** Tokens, or the answer of a plain call, came from a place in use. */
-  heard(place: IPlace, tokens: number): void {
+  recordTokens(place: IChosenTarget, tokens: number): void {
     const use = this.#uses.get(place);
     if (use !== undefined && tokens > 0) {
       const { targets } = this.schedulerOf(place.service);
-      targets.tokens(use, tokens, this.#sources.clock.now());
+      targets.recordTokens(use, tokens, this.#sources.clock.now());
     }
   }
 
   /** The caller has taken what came; more is read from now on. */
-  resumed(place: IPlace): void {
+  recordReadResumed(place: IChosenTarget): void {
     const use = this.#uses.get(place);
     if (use !== undefined) {
       const { targets } = this.schedulerOf(place.service);
-      targets.resumed(use, this.#sources.clock.now());
+      targets.resumeRequest(use, this.#sources.clock.now());
     }
   }
 
-  #choose(request: ICallerRequest, avoid: ReadonlySet<string>): IPlace | null {
+  #choose(
+    request: ICallerRequest,
+    avoid: ReadonlySet<string>,
+  ): IChosenTarget | null {
     const { name } = request.service;
     const served = this.#servedBy(name);
     this.#refresh(name, served);
@@ -144,9 +147,12 @@
     return { id, address: instance.address, group, service: name, work };
   }
 
-  #refresh(service: ServiceName, served: ReadonlyMap<string, IServed>): number {
+  #refresh(
+    service: ServiceName,
+    served: ReadonlyMap<string, IServableTarget>,
+  ): number {
     const { clock, live } = this.#sources;
-    const targets: ITargetState[] = [];
+    const targets: ITargetLoadReport[] = [];
     for (const [id, { instance }] of served) {
       const seen = this.#sources.targets.reports.get(instance.id);
       if (seen !== undefined) {
@@ -155,14 +161,14 @@
         targets.push({ id, reported: running + queued, describes });
       }
     }
-    const reports: ITargetReports = { targets, daemons: live.inZone.length };
-    this.schedulerOf(service).targets.report(reports, clock.now());
+    const reports: ITargetsUpdate = { targets, daemons: live.inZone.length };
+    this.schedulerOf(service).targets.update(reports, clock.now());
     return targets.length;
   }
 
   /** Groups and plain targets that serve it now, by the id of the place. */
-  #servedBy(service: ServiceName): ReadonlyMap<string, IServed> {
-    const served = new Map<string, IServed>();
+  #servedBy(service: ServiceName): ReadonlyMap<string, IServableTarget> {
+    const served = new Map<string, IServableTarget>();
     const { instances, reports } = this.#sources.targets;
     for (const { group, isComplete } of this.groups()) {
       const instance = instances.get(group.members[0] ?? "");
--- a/src/common/services/group_health.ts
+++ b/src/common/services/group_health.ts
@@ -47,7 +47,7 @@
   }
 
   /** Milliseconds for which a group could not serve; 0 when it can. */
-  downFor(group: GroupId): number {
+  downtimeOf(group: GroupId): number {
     const since = this.#downSince.get(group);
     return since === undefined ? 0 : this.#ports.clock.now() - since;
   }
--- a/src/common/services/membership_service.ts
+++ b/src/common/services/membership_service.ts
@@ -3,7 +3,7 @@
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
 import type { LiveDaemons } from "../membership/live_daemons.ts";
-import { Membership } from "../membership/membership.ts";
+import { SwimMembership } from "../membership/swim_membership.ts";
 import type { IPeers } from "../membership/peers.ts";
 import {
   MEMBERSHIP_TIMING,
@@ -14,7 +14,7 @@
 import type {
   IMember,
   IMemberMessage,
-  IMemberNews,
+  IMemberUpdate,
   IProbe,
   MembershipAction,
 } from "../membership/types.ts";
@@ -51,7 +51,7 @@
 export class MembershipService implements IDisposable {
   readonly #ports: IMembershipPorts;
   readonly #self: IMember;
-  readonly #machine: Membership;
+  readonly #machine: SwimMembership;
   readonly #onVersions: VersionsListener;
   readonly #owned = new DisposableStore();
 
@@ -63,15 +63,15 @@
     this.#ports = ports;
     this.#self = self;
     this.#onVersions = onVersions;
-    this.#machine = new Membership(self, MEMBERSHIP_TIMING, ports);
+    this.#machine = new SwimMembership(self, MEMBERSHIP_TIMING, ports);
   }
 
   /** Other live daemons of the zone. */
-  get live(): readonly IMember[] {
+  get liveMembers(): readonly IMember[] {
     return this.#machine.live;
   }
 
-  get view(): readonly IMemberNews[] {
+  get view(): readonly IMemberUpdate[] {
     return this.#machine.view;
   }
 
@@ -82,27 +82,27 @@
   }
 
   /** Takes daemons named by the platform; they are probed. */
-  learned(members: readonly IMember[]): void {
-    this.#machine.learned(members);
+  addContacts(members: readonly IMember[]): void {
+    this.#machine.addContacts(members);
   }
 
   /** Probes some members out of turn: there is news that cannot wait. */
   spread(count: number): void {
-    void this.#perform(this.#machine.spread(count));
+    void this.#perform(this.#machine.spreadUpdates(count));
   }
 
   /** Answers a peer's probe. */
-  probed(probe: IProbe): IProbe {
+  handleProbe(probe: IProbe): IProbe {
     const { clock, versions } = this.#ports;
     const { member } = probe.message.from;
-    void this.#perform(this.#machine.probed(probe.message, clock.now()));
+    void this.#perform(this.#machine.handleProbe(probe.message, clock.now()));
     this.#onVersions(probe.versions, member.peerAddress);
-    const message = this.#machine.answer(member.daemon);
+    const message = this.#machine.composeAnswer(member.daemon);
     return { message, versions: versions() };
   }
 
   /** Passes a peer's probe on to a target. */
-  probedThrough(
+  relayProbe(
     probe: IProbe,
     target: string,
   ): Promise<Result<IProbe, ICallFailure>> {
@@ -174,11 +174,11 @@
     const answer = await sent;
     const now = this.#ports.clock.now();
     if (answer.isErr()) {
-      return this.#perform(this.#machine.failed(probe, now));
+      return this.#perform(this.#machine.handleProbeFailure(probe, now));
     }
     const { message, versions } = answer.value;
     this.#onVersions(versions, address);
-    return this.#perform(this.#machine.answered(probe, message, now));
+    return this.#perform(this.#machine.handleAnswer(probe, message, now));
   }
 
   async #synchronize(target: IMember): Promise<void> {
@@ -186,7 +186,7 @@
     metrics.count("peer_calls", { call: "synchronize" });
     const view = await peers.synchronize(target.peerAddress);
     if (view.isOk()) {
-      return this.#perform(this.#machine.synchronized(view.value, clock.now()));
+      return this.#perform(this.#machine.mergeView(view.value, clock.now()));
     }
   }
 
--- a/src/common/services/order_sender.ts
+++ b/src/common/services/order_sender.ts
@@ -50,7 +50,7 @@
   }
 
   /** Resolves once no order sent so far can take effect any more. */
-  async settled(): Promise<void> {
+  async drain(): Promise<void> {
     await Promise.all(this.#sending.values());
     const { clock } = this.#ports;
     const left = this.#landedBy - clock.now();
--- a/src/common/services/peer_service.ts
+++ b/src/common/services/peer_service.ts
@@ -4,12 +4,15 @@
 import type { IDisposable } from "../disposable.ts";
 import type {
   IPeers,
-  IZonesAnswer,
-  IZonesQuestion,
+  IZonesResponse,
+  IZonesRequest,
 } from "../membership/peers.ts";
-import type { IMember, IMemberNews, IProbe } from "../membership/types.ts";
-import { ZoneLinks } from "../membership/zone_links.ts";
-import type { IServiceLoad, IZoneSummary } from "../membership/zone_links.ts";
+import type { IMember, IMemberUpdate, IProbe } from "../membership/types.ts";
+import { ZoneDirectory } from "../membership/zone_directory.ts";
+import type {
+  IServiceLoad,
+  IZoneSummary,
+} from "../membership/zone_directory.ts";
 import type { IFinding, PlanListName } from "../plans/types.ts";
 import type { ICallFailure } from "../types.ts";
 import { DaemonList } from "./daemon_list.ts";
@@ -50,7 +53,7 @@
   readonly #lists: PlanListService;
   readonly #self: IMember;
   readonly #members: MembershipService;
-  readonly #zones: ZoneLinks;
+  readonly #zones: ZoneDirectory;
   readonly #list: DaemonList;
   /** Addresses of peers by the platform's list. */
   #listed: readonly string[] = [];
@@ -68,18 +71,18 @@
       this.#self,
       (versions, address) => void this.#learn(versions, address),
     );
-    this.#zones = new ZoneLinks(this.#self, ports);
+    this.#zones = new ZoneDirectory(this.#self, ports);
     this.#list = new DaemonList(ports, self, {
-      isAlone: () => this.#members.live.length === 0,
+      isAlone: () => this.#members.liveMembers.length === 0,
       isDelegate: () => this.#zones.isDelegate,
       isLive: (entry) => ports.live.inZone.includes(entry.daemon),
-      learned: (entries) => this.#learned(entries),
+      onEntriesRead: (entries) => this.#learned(entries),
     });
   }
 
   /** Other live daemons of this zone. */
-  get live(): readonly IMember[] {
-    return this.#members.live;
+  get liveMembers(): readonly IMember[] {
+    return this.#members.liveMembers;
   }
 
   /** Entries on the platform that are not those of a daemon. */
@@ -92,7 +95,7 @@
     return this.#zones.summaries(this.#ports.clock.now());
   }
 
-  get view(): readonly IMemberNews[] {
+  get view(): readonly IMemberUpdate[] {
     return this.#members.view;
   }
 
@@ -104,19 +107,19 @@
     this.#owned.add(this.#lists.onAdopted(() => this.#spread()));
   }
 
-  probed(probe: IProbe): IProbe {
-    return this.#members.probed(probe);
+  handleProbe(probe: IProbe): IProbe {
+    return this.#members.handleProbe(probe);
   }
 
-  probedThrough(
+  relayProbe(
     probe: IProbe,
     target: string,
   ): Promise<Result<IProbe, ICallFailure>> {
-    return this.#members.probedThrough(probe, target);
+    return this.#members.relayProbe(probe, target);
   }
 
   /** Answers a daemon of any zone. */
-  answerZones(question: IZonesQuestion): IZonesAnswer {
+  answerZones(question: IZonesRequest): IZonesResponse {
     void this.#learn(question.versions, question.from.peerAddress);
     const { versions } = this.#lists;
     return { zones: [this.#ownSummary(), ...this.zones], versions };
@@ -145,7 +148,7 @@
     for (let round = 0; round < ROUNDS_AT_START && !isAnswered; round++) {
       isAnswered = await this.#askSomeAtStart();
     }
-    this.#lists.notePeersAsked();
+    this.#lists.markPeersAsked();
   }
 
   /**
@@ -170,8 +173,8 @@
       peerAddress,
     }));
     this.#listed = members.map(({ peerAddress }) => peerAddress);
-    this.#members.learned(members);
-    this.#zones.learned(members);
+    this.#members.addContacts(members);
+    this.#zones.setContacts(members);
   }
 
   /** A list in force must be so everywhere within seconds: tell it on. */
@@ -186,13 +189,16 @@
 
   async #askNext(): Promise<void> {
     const { clock } = this.#ports;
-    const other = this.#zones.next(this.#members.live, clock.now());
+    const other = this.#zones.nextContact(
+      this.#members.liveMembers,
+      clock.now(),
+    );
     if (other === null) {
       return this.#askSeed();
     }
     const isAnswered = await this.#ask(other.peerAddress);
     if (!isAnswered) {
-      this.#zones.failed(other, clock.now());
+      this.#zones.recordFailure(other, clock.now());
     }
   }
 
@@ -200,7 +206,7 @@
   async #askSeed(): Promise<void> {
     const { random, seeds } = this.#ports;
     const seed = seeds[Math.floor(random.next() * seeds.length)];
-    if (seed !== undefined && this.#members.live.length === 0) {
+    if (seed !== undefined && this.#members.liveMembers.length === 0) {
       await this.#ask(seed);
     }
   }
@@ -217,8 +223,8 @@
       return false;
     }
     const { zones } = answer.value;
-    this.#zones.take(zones, askedAt);
-    this.#members.learned(zones.flatMap(({ delegates }) => delegates));
+    this.#zones.merge(zones, askedAt);
+    this.#members.addContacts(zones.flatMap(({ delegates }) => delegates));
     await this.#learn(answer.value.versions, address);
     return true;
   }
@@ -226,7 +232,7 @@
   #ownSummary(): IZoneSummary {
     const { live, loads } = this.#ports;
     const names = this.#zones.delegates;
-    const members = [this.#self, ...this.#members.live];
+    const members = [this.#self, ...this.#members.liveMembers];
     return {
       zone: this.#self.zone,
       daemons: live.inZone.length,
@@ -242,7 +248,7 @@
     address: string,
   ): Promise<void> {
     for (const { list, version } of versions) {
-      const isNewer = version > (this.#lists.book.version(list) ?? 0);
+      const isNewer = version > (this.#lists.plans.version(list) ?? 0);
       if (isNewer) {
         await this.#fetchOnce(list, version, address);
       }
--- a/src/common/services/service_runner.ts
+++ b/src/common/services/plain_service_runner.ts
@@ -3,10 +3,10 @@
 import type { Result } from "ts-results-es";
 import { Reason } from "../types.ts";
 import type { ICallFailure, IRefusal } from "../types.ts";
-import type { IPlace } from "./group_directory.ts";
-import { noTarget, OnceRunner } from "./once_runner.ts";
-import type { IOnceParts } from "./once_runner.ts";
-import { notRun, unknown } from "./refusal.ts";
+import type { IChosenTarget } from "./group_directory.ts";
+import { noTarget, AtMostOnceRunner } from "./at_most_once_runner.ts";
+import type { IAtMostOnceParts } from "./at_most_once_runner.ts";
+import { notRun, outcomeUnknown } from "./refusal.ts";
 import type { RetryService } from "./retry_service.ts";
 import type { IBufferedAnswer, ICallerRequest } from "./types.ts";
 
@@ -23,18 +23,18 @@
 const NO_TARGET_RETRY_AFTER = 2_000;
 
 /** What the runner works with. */
-export interface IServiceParts extends IOnceParts {
+export interface IPlainServiceRunnerParts extends IAtMostOnceParts {
   readonly retries: RetryService;
 }
 
 /** Runs calls on plain services of this zone. */
-export class ServiceRunner {
-  readonly #parts: IServiceParts;
-  readonly #once: OnceRunner;
+export class PlainServiceRunner {
+  readonly #parts: IPlainServiceRunnerParts;
+  readonly #once: AtMostOnceRunner;
 
-  constructor(parts: IServiceParts) {
+  constructor(parts: IPlainServiceRunnerParts) {
     this.#parts = parts;
-    this.#once = new OnceRunner(parts);
+    this.#once = new AtMostOnceRunner(parts);
   }
 
   /** The whole answer, or why there is none. */
@@ -57,7 +57,7 @@
   ): Promise<Result<IBufferedAnswer, IRefusal>> {
     const { clock, groups, retries } = this.#parts;
     const avoid = new Set<string>();
-    retries.firstTry(request);
+    retries.recordFirstAttempt(request);
     for (let tries = 0; tries < MAXIMUM_TRIES; tries++) {
       const place = groups.choosePlain(request, avoid);
       if (place === null || clock.now() >= request.deadline) {
@@ -68,10 +68,10 @@
         return Ok({ body: answer.value });
       }
       if (request.signal.aborted) {
-        return Err(unknown(Reason.CallerLeft, "the caller is gone"));
+        return Err(outcomeUnknown(Reason.CallerLeft, "the caller is gone"));
       }
       avoid.add(place.id);
-      if (!(await retries.mayRetry(request))) {
+      if (!(await retries.waitForRetry(request))) {
         break;
       }
     }
@@ -80,10 +80,10 @@
 
   async #call(
     request: ICallerRequest,
-    place: IPlace,
+    place: IChosenTarget,
   ): Promise<Result<unknown, ICallFailure>> {
     const { clock, groups, targets } = this.#parts;
-    const end = groups.begin(place);
+    const end = groups.beginRequest(place);
     const { requestId, operation, body } = request;
     const left = request.deadline - clock.now();
     const call = {
@@ -96,7 +96,7 @@
     try {
       const { signal } = request;
       const answer = await targets.call(place.address, call, signal);
-      groups.heard(place, answer.isOk() ? 1 : 0);
+      groups.recordTokens(place, answer.isOk() ? 1 : 0);
       return answer;
     } finally {
       end();
@@ -108,13 +108,13 @@
     if (isLate) {
       const detail = "no answer by the deadline";
       return wasTried
-        ? unknown(Reason.DeadlinePassed, detail)
+        ? outcomeUnknown(Reason.DeadlinePassed, detail)
         : notRun(Reason.DeadlinePassed, detail);
     }
     if (!wasTried) {
       return noTarget(request);
     }
     const detail = `no target of ${request.service.name} answered`;
-    return unknown(Reason.TargetLost, detail, NO_TARGET_RETRY_AFTER);
+    return outcomeUnknown(Reason.TargetLost, detail, NO_TARGET_RETRY_AFTER);
   }
 }
--- a/src/common/services/plan_list_service.ts
+++ b/src/common/services/plan_list_service.ts
@@ -58,7 +58,7 @@
     this.#ports = ports;
   }
 
-  get book(): PlanBook {
+  get plans(): PlanBook {
     return this.#book;
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** Says that every peer in reach has been asked, or that there is none. */
-  notePeersAsked(): void {
+  markPeersAsked(): void {
     this.#hasAskedPeers = true;
   }
 
--- a/src/common/services/refusal.ts
+++ b/src/common/services/refusal.ts
@@ -12,7 +12,7 @@
 }
 
 /** The request may have run. */
-export function unknown(
+export function outcomeUnknown(
   reason: Reason,
   detail: string,
   retryAfter = 0,
--- a/src/common/services/retry_service.ts
+++ b/src/common/services/retry_service.ts
@@ -26,15 +26,15 @@
   }
 
   /** A request is sent for the first time. */
-  firstTry(request: ICallerRequest): void {
-    this.#budgetOf(request).firstTry(this.#parts.clock.now());
+  recordFirstAttempt(request: ICallerRequest): void {
+    this.#budgetOf(request).recordFirstAttempt(this.#parts.clock.now());
   }
 
   /** Resolves when a second try may be sent; with false if there is none. */
-  async mayRetry(request: ICallerRequest): Promise<boolean> {
+  async waitForRetry(request: ICallerRequest): Promise<boolean> {
     const { clock, groups, random, metrics } = this.#parts;
     const { name } = request.service;
-    const run = groups.schedulerOf(name).runTime(workOf(request));
+    const run = groups.schedulerOf(name).estimateRunTime(workOf(request));
     const within = request.deadline - clock.now() - run;
     const next = () => random.next();
     const wait = this.#budgetOf(request).take(within, next);
--- a/src/common/services/run_settler.ts
+++ b/src/common/services/run_record_retry_queue.ts
@@ -37,7 +37,7 @@
 }
 
 /** Settles records one after another, in the background. */
-export class RunSettler {
+export class RunRecordRetryQueue {
   readonly #platform: IPlatform;
   readonly #clock: IClock;
   readonly #log: ILog;
--- a/src/common/services/run_record_service.ts
+++ b/src/common/services/run_record_service.ts
@@ -16,8 +16,8 @@
 } from "../runs/run_record.ts";
 import { Reason } from "../types.ts";
 import type { ICallFailure, IRefusal, RequestId } from "../types.ts";
-import { notRun, unknown } from "./refusal.ts";
-import { RunSettler } from "./run_settler.ts";
+import { notRun, outcomeUnknown } from "./refusal.ts";
+import { RunRecordRetryQueue } from "./run_record_retry_queue.ts";
 import { WriteFailureKind } from "./services.ts";
 import type {
   IClock,
@@ -94,11 +94,11 @@
 /** Creates, finds and finishes run records. */
 export class RunRecordService {
   readonly #ports: IRunRecordPorts;
-  readonly #settler: RunSettler;
+  readonly #settler: RunRecordRetryQueue;
 
   constructor(ports: IRunRecordPorts) {
     this.#ports = ports;
-    this.#settler = new RunSettler(ports);
+    this.#settler = new RunRecordRetryQueue(ports);
   }
 
   /**
@@ -185,7 +185,7 @@
     }
     if (found.value === "unreadable") {
       const detail = "the run record under this key does not parse";
-      const start = Err(unknown(Reason.OutcomeUnknown, detail));
+      const start = Err(outcomeUnknown(Reason.OutcomeUnknown, detail));
       return { kind: "start", start };
     }
     const { record, version } = found.value;
@@ -249,13 +249,13 @@
     case Finding.InProgress: {
       const detail = "a call with this key is in progress; ask again for it";
       const retryAfter = IN_PROGRESS_RETRY_AFTER;
-      return Err(unknown(Reason.InProgress, detail, retryAfter));
+      return Err(outcomeUnknown(Reason.InProgress, detail, retryAfter));
     }
     case Finding.Unknown: {
       const detail =
         "a call with this key may have run; look at the service whether it " +
         "did, and use a new key only if it did not";
-      return Err(unknown(Reason.OutcomeUnknown, detail));
+      return Err(outcomeUnknown(Reason.OutcomeUnknown, detail));
     }
   }
 }
--- a/src/common/services/run_sweeper.ts
+++ b/src/common/services/run_record_sweeper.ts
@@ -25,7 +25,7 @@
 const LARGEST_ROUND = 100;
 
 /** What the sweeper works with. */
-export interface IRunSweeperPorts {
+export interface IRunRecordSweeperPorts {
   readonly platform: IPlatform;
   readonly clock: IClock;
   readonly random: IRandom;
@@ -35,12 +35,12 @@
 }
 
 /** Looks at one random bucket at a time. */
-export class RunSweeper implements IDisposable {
-  readonly #ports: IRunSweeperPorts;
+export class RunRecordSweeper implements IDisposable {
+  readonly #ports: IRunRecordSweeperPorts;
   readonly #owned = new DisposableStore();
   #isSweeping = false;
 
-  constructor(ports: IRunSweeperPorts) {
+  constructor(ports: IRunRecordSweeperPorts) {
     this.#ports = ports;
   }
 
--- a/src/common/services/run_sweeper_test.ts
+++ b/src/common/services/run_record_sweeper_test.ts
@@ -2,7 +2,7 @@
 import { Ok } from "ts-results-es";
 import { kindOfBucket, locationOf } from "../runs/run_location.ts";
 import { openRecord } from "../runs/run_record.ts";
-import { RunSweeper } from "./run_sweeper.ts";
+import { RunRecordSweeper } from "./run_record_sweeper.ts";
 import type { IPlatform } from "./services.ts";
 
 const HOUR = 3_600_000;
@@ -29,7 +29,7 @@
         return Promise.resolve(Ok(undefined));
       },
     };
-    const sweeper = new RunSweeper({
+    const sweeper = new RunRecordSweeper({
       platform: platform as unknown as IPlatform,
       clock: {
         now: () => 0,
--- a/src/common/services/spilling_engine_runner.ts
+++ b/src/common/services/spilling_engine_runner.ts
@@ -15,7 +15,7 @@
   ISpillTarget,
   TokenBatch,
 } from "./forwarding.ts";
-import { unknown } from "./refusal.ts";
+import { outcomeUnknown } from "./refusal.ts";
 import type { IClock, ILog, IMetrics } from "./services.ts";
 import type { ICallerRequest } from "./types.ts";
 
@@ -23,7 +23,7 @@
 const MAXIMUM_HANDOVERS = 2;
 
 /** What the runner works with. */
-export interface ISpillingParts {
+export interface ISpillingEngineRunnerParts {
   readonly local: EngineRunner;
   readonly forwarder: IForwarder;
   /** Daemons of zones that have complete groups of a service, best first. */
@@ -42,9 +42,9 @@
 
 /** Runs requests for tokens wherever they can be run. */
 export class SpillingEngineRunner {
-  readonly #parts: ISpillingParts;
+  readonly #parts: ISpillingEngineRunnerParts;
 
-  constructor(parts: ISpillingParts) {
+  constructor(parts: ISpillingEngineRunnerParts) {
     this.#parts = parts;
   }
 
@@ -64,7 +64,7 @@
       yield* this.#remote(request, target, progress);
     }
     if (!progress.isWhole) {
-      const early = unknown(Reason.TargetLost, "the answer ended early");
+      const early = outcomeUnknown(Reason.TargetLost, "the answer ended early");
       yield Err(progress.refusal ?? early);
     }
   }
--- a/src/common/services/engine_effort.ts
+++ b/src/common/services/stream_progress.ts
@@ -16,10 +16,10 @@
  * Only attempts that bring nothing are counted: a long stream may well outlive
  * many groups, and its caller would lose what it has.
  */
-export class EngineEffort implements Disposable {
+export class StreamProgress implements Disposable {
   readonly request: ICallerRequest;
   readonly suspects = new Set<string>();
-  readonly givenUp = new Set<string>();
+  readonly excluded = new Set<string>();
   readonly #ending = new AbortController();
   readonly #endOfTime: { dispose(): void };
   readonly #end = () => this.#ending.abort();
@@ -51,11 +51,11 @@
     return this.#position;
   }
 
-  get isWhole(): boolean {
+  get isComplete(): boolean {
     return this.#isWhole;
   }
 
-  get isLate(): boolean {
+  get isDeadlinePassed(): boolean {
     return this.#isLate;
   }
 
@@ -64,12 +64,12 @@
     return this.#mayHaveRun;
   }
 
-  get mayTry(): boolean {
+  get mayAttempt(): boolean {
     return this.#vainTries < MAXIMUM_VAIN_TRIES && !this.signal.aborted;
   }
 
   /** Tokens have been passed on to the caller. */
-  passed(tokens: readonly IEngineToken[]): void {
+  recordTokens(tokens: readonly IEngineToken[]): void {
     const last = tokens.at(-1);
     if (last !== undefined) {
       this.#vainTries = 0;
@@ -80,19 +80,19 @@
   }
 
   /** An attempt at a group has failed. */
-  failed(group: string, failure: ICallFailure): void {
+  recordFailure(group: string, failure: ICallFailure): void {
     this.#vainTries += 1;
     const isUnsure = failure.kind === CallFailureKind.Unknown;
     this.#mayHaveRun ||= isUnsure;
     if (!isUnsure || this.suspects.has(group)) {
-      this.givenUp.add(group);
+      this.excluded.add(group);
     }
     this.suspects.add(group);
   }
 
   /** Lets groups be asked again that have failed this request. */
-  forgive(): void {
-    this.givenUp.clear();
+  clearExcluded(): void {
+    this.excluded.clear();
   }
 
   [Symbol.dispose](): void {
--- a/src/common/services/target_directory.ts
+++ b/src/common/services/target_directory.ts
@@ -117,7 +117,7 @@
   }
 
   /** Takes reports that others polled; fresher ones stay. */
-  offer(reports: readonly ISeenReport[]): void {
+  mergeReports(reports: readonly ISeenReport[]): void {
     for (const seen of reports) {
       const id = seen.report.instance;
       const held = this.#reports.get(id);
@@ -208,7 +208,7 @@
     if (answer.isOk() && answer.value.instance === instance.id) {
       const seen = { report: answer.value, seenAt: askedAt };
       this.#own.set(instance.id, seen);
-      this.offer([seen]);
+      this.mergeReports([seen]);
     }
   }
 }
--- a/src/common/services/work_of.ts
+++ b/src/common/services/work_of.ts
@@ -1,5 +1,5 @@
 /** What a caller's request costs, as far as its body tells. */
-import type { IWork } from "../decisions/work.ts";
+import type { IWorkItem } from "../decisions/work_item.ts";
 import { ServiceKind } from "../types.ts";
 import type { ICallerRequest } from "./types.ts";
 
@@ -13,7 +13,7 @@
 export const DEFAULT_MAXIMUM_TOKENS = 256;
 
 /** The request as the decisions see it. */
-export function workOf(request: ICallerRequest): IWork {
+export function workOf(request: ICallerRequest): IWorkItem {
   const { account, arrivedAt, deadline, requestId, service } = request;
   const isCall = service.kind === ServiceKind.Plain;
   const size = isCall ? CALL_SIZE : sizeOf(request.body);
--- a/src/common/services/zone_domains.ts
+++ b/src/common/services/zone_domains.ts
@@ -1,10 +1,10 @@
-/** One {@link DomainService} for each fabric domain seen in the zone. */
+/** One {@link DomainController} for each fabric domain seen in the zone. */
 import { DisposableStore } from "../disposable.ts";
 import type { IWantedGroups } from "../groups/formation.ts";
 import type { DomainName } from "../types.ts";
 import { ServiceKind } from "../types.ts";
-import { DomainService } from "./domain_service.ts";
-import type { IDomainOptions, IDomainPorts } from "./domain_service.ts";
+import { DomainController } from "./domain_controller.ts";
+import type { IDomainOptions, IDomainPorts } from "./domain_controller.ts";
 
 /** How often the instance list is searched for new domains, milliseconds. */
 const SEARCH_EVERY = 500;
@@ -23,7 +23,7 @@
   readonly #ports: IDomainPorts;
   readonly #options: IZoneDomainOptions;
   readonly #owned = new DisposableStore();
-  readonly #domains = new Map<DomainName, DomainService>();
+  readonly #domains = new Map<DomainName, DomainController>();
 
   constructor(ports: IDomainPorts, options: IZoneDomainOptions) {
     this.#ports = ports;
@@ -31,7 +31,7 @@
   }
 
   /** All domains of the zone seen so far. */
-  get all(): readonly DomainService[] {
+  get all(): readonly DomainController[] {
     return [...this.#domains.values()];
   }
 
@@ -56,7 +56,7 @@
   }
 
   #add(domain: DomainName): void {
-    const service = new DomainService(this.#ports, {
+    const service = new DomainController(this.#ports, {
       ...this.#options,
       domain,
       wanted: () => this.#options.wanted(this.#countEngines(domain)),
--- a/src/common/services/zone_loads.ts
+++ b/src/common/services/zone_loads.ts
@@ -1,5 +1,5 @@
 /** What a zone tells other zones of its services' load. */
-import type { IServiceLoad } from "../membership/zone_links.ts";
+import type { IServiceLoad } from "../membership/zone_directory.ts";
 import { ServiceKind, TargetState } from "../types.ts";
 import type { InstanceId, ServiceName } from "../types.ts";
 import type { GroupDirectory } from "./group_directory.ts";
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -16,7 +16,7 @@
 import { SystemRandom } from "../adapters/random/system_random.ts";
 import { HttpTargets } from "../adapters/targets/http_targets.ts";
 import { splitAddress } from "../adapters/listen.ts";
-import type { IPeerAnswers } from "../common/membership/peers.ts";
+import type { IPeerRequestHandler } from "../common/membership/peers.ts";
 import { LiveDaemons } from "../common/membership/live_daemons.ts";
 import { BurnRecorder } from "../common/reports/burn_recorder.ts";
 import type { IDaemonBurn } from "../common/reports/burn_types.ts";
@@ -28,7 +28,7 @@
 import { MeteredPlatform } from "../common/services/metered_platform.ts";
 import { PeerService } from "../common/services/peer_service.ts";
 import { PlanListService } from "../common/services/plan_list_service.ts";
-import { RunSweeper } from "../common/services/run_sweeper.ts";
+import { RunRecordSweeper } from "../common/services/run_record_sweeper.ts";
 import { TargetDirectory } from "../common/services/target_directory.ts";
 import { ZoneDomains } from "../common/services/zone_domains.ts";
 import { zoneLoads } from "../common/services/zone_loads.ts";
@@ -79,7 +79,7 @@
   readonly #domains: ZoneDomains;
   readonly #groups: GroupDirectory;
   readonly #health: GroupHealth;
-  readonly #sweeper: RunSweeper;
+  readonly #sweeper: RunRecordSweeper;
   readonly #forwarder: GrpcForwarder;
   readonly #path: RequestPath;
   readonly #callers: HttpCallerServer;
@@ -174,7 +174,7 @@
       groups: this.#groups.groups().map(({ group, isComplete }) => ({
         ...group,
         complete: isComplete,
-        down_ms: Math.round(this.#health.downFor(group.id)),
+        down_ms: Math.round(this.#health.downtimeOf(group.id)),
       })),
     };
   }
@@ -290,8 +290,8 @@
     );
   }
 
-  #createSweeper(): RunSweeper {
-    return new RunSweeper({
+  #createSweeper(): RunRecordSweeper {
+    return new RunRecordSweeper({
       platform: this.#platform,
       clock: this.#clock,
       random: this.#random,
@@ -317,7 +317,7 @@
       targets: this.#targets,
       groups: this.#groups,
       forwarder: this.#forwarder,
-      book: this.#lists.book,
+      book: this.#lists.plans,
       zones: () => this.#peerService?.zones ?? [],
       clock: this.#clock,
       random: this.#random,
@@ -329,7 +329,7 @@
   #createCallerServer(): HttpCallerServer {
     return new HttpCallerServer({
       dispatcher: this.#path.dispatcher,
-      book: this.#lists.book,
+      book: this.#lists.plans,
       burn: this.#burn,
       areListsReady: () => this.#lists.isReady,
       services: serviceDefinitions(this.#settings),
@@ -368,7 +368,7 @@
         hash: this.#hash,
         metrics: this.#metrics,
         directory: this.#directory,
-        members: () => this.#peerService?.live ?? [],
+        members: () => this.#peerService?.liveMembers ?? [],
       },
       { self: this.#id, period: this.#settings.polling.targets },
     );
@@ -383,18 +383,18 @@
       }
       return this.#peerService;
     };
-    const answers: IPeerAnswers = {
-      probed: (probe) => started().probed(probe),
-      probedThrough: (probe, target) => started().probedThrough(probe, target),
+    const answers: IPeerRequestHandler = {
+      handleProbe: (probe) => started().handleProbe(probe),
+      relayProbe: (probe, target) => started().relayProbe(probe, target),
       view: () => started().view,
-      digests: (held) => this.#digests.answer(held),
+      digests: (held) => this.#digests.answerPull(held),
       zones: (question) => started().answerZones(question),
-      text: (list) => this.#lists.book.text(list),
+      listText: (list) => this.#lists.plans.text(list),
     };
     const { forwards } = this.#path;
     return new GrpcPeerServer(answers, {
       credentials: this.#credentials,
-      forwarded: (request, signal) => forwards.answer(request, signal),
+      forwarded: (request, signal) => forwards.serve(request, signal),
     });
   }
 }
--- a/src/daemon/request_path.ts
+++ b/src/daemon/request_path.ts
@@ -2,7 +2,7 @@
 import { digestOf } from "../adapters/callers/http_caller_server.ts";
 import type { GrpcForwarder } from "../adapters/peers/grpc_forwarder.ts";
 import { chooseSpillTargets } from "../common/decisions/spill.ts";
-import type { IZoneSummary } from "../common/membership/zone_links.ts";
+import type { IZoneSummary } from "../common/membership/zone_directory.ts";
 import type { PlanBook } from "../common/plans/plan_book.ts";
 import { AdmissionService } from "../common/services/admission_service.ts";
 import { CallDispatcher } from "../common/services/call_dispatcher.ts";
@@ -12,7 +12,7 @@
 import type { GroupDirectory } from "../common/services/group_directory.ts";
 import { RetryService } from "../common/services/retry_service.ts";
 import { RunRecordService } from "../common/services/run_record_service.ts";
-import { ServiceRunner } from "../common/services/service_runner.ts";
+import { PlainServiceRunner } from "../common/services/plain_service_runner.ts";
 import type {
   IClock,
   ILog,
@@ -49,7 +49,7 @@
   readonly #parts: IRequestPathParts;
   readonly #settings: Settings;
   readonly #retries: RetryService;
-  readonly #services: ServiceRunner;
+  readonly #services: PlainServiceRunner;
 
   constructor(settings: Settings, parts: IRequestPathParts) {
     this.#settings = settings;
@@ -112,14 +112,14 @@
     });
   }
 
-  #createServices(): ServiceRunner {
+  #createServices(): PlainServiceRunner {
     const { clock, groups, log, metrics, platform, random, targets } =
       this.#parts;
     const records = new RunRecordService({
       ...{ platform, clock, random, log, metrics },
       digest: digestOf,
     });
-    return new ServiceRunner({
+    return new PlainServiceRunner({
       ...{ groups, targets, records, clock },
       retries: this.#retries,
     });
--- a/src/entry/entry_process.ts
+++ b/src/entry/entry_process.ts
@@ -2,7 +2,7 @@
 import { IngressServer } from "../../platform/ingress_server.ts";
 import { ReadinessServer } from "../../platform/readiness_server.ts";
 import { decodeConfiguration } from "../../platform/configuration_decoder.ts";
-import { CONFIGURATION_NAME, Kind } from "../../platform/names.ts";
+import { CONFIGURATION_NAME, ObjectKind } from "../../platform/names.ts";
 import { ObjectStore } from "../../platform/object_store.ts";
 import { TargetClient } from "../../platform/target_client.ts";
 import { decodeTarget } from "../../platform/target_decoder.ts";
@@ -12,20 +12,20 @@
 import { BoundedLog } from "../adapters/log/bounded_log.ts";
 import { PrometheusMetrics } from "../adapters/metrics/prometheus_metrics.ts";
 import { SystemRandom } from "../adapters/random/system_random.ts";
-import { ConfigurationBook } from "../common/calls/configuration_book.ts";
+import { ActiveConfiguration } from "../common/calls/active_configuration.ts";
 import { CHECK_PERIOD, ModelCalls } from "../common/calls/model_calls.ts";
 import { ObjectFollower } from "../common/calls/object_follower.ts";
 import type { IFollowerParts } from "../common/calls/object_follower.ts";
 import { PlainCalls } from "../common/calls/plain_calls.ts";
-import { PlainTargets } from "../common/calls/plain_targets.ts";
-import { RepeatBook } from "../common/calls/repeat_book.ts";
+import { PlainTargetSelector } from "../common/calls/plain_target_selector.ts";
+import { ServiceRetryAllowances } from "../common/calls/service_retry_allowances.ts";
 import { ServingGroups } from "../common/calls/serving_groups.ts";
-import { TargetBook } from "../common/calls/target_book.ts";
-import { CallReason, CallEnd } from "../common/calls/types.ts";
+import { TargetRegistry } from "../common/calls/target_registry.ts";
+import { CallRefusalReason, CallRefusalKind } from "../common/calls/types.ts";
 import type { ICall, ICallReply } from "../common/calls/types.ts";
 import { DisposableStore } from "../common/disposable.ts";
 import { StoreRelay } from "../common/relay/store_relay.ts";
-import { FleetControl } from "./fleet_control.ts";
+import { FleetCoordinator } from "./fleet_coordinator.ts";
 import type { EntrySettings } from "./settings.ts";
 
 const MILLISECONDS_A_SECOND = 1_000;
@@ -73,13 +73,13 @@
   readonly #owned = new DisposableStore();
   readonly #store: ObjectStore;
   readonly #client = new TargetClient();
-  readonly #configuration: ConfigurationBook;
-  readonly #targets = new TargetBook(decodeTarget, REAPPEAR_TIME);
+  readonly #configuration: ActiveConfiguration;
+  readonly #targets = new TargetRegistry(decodeTarget, REAPPEAR_TIME);
   readonly #groups = new ServingGroups();
-  readonly #plainTargets = new PlainTargets();
+  readonly #plainTargets = new PlainTargetSelector();
   readonly #followers: readonly ObjectFollower[];
   readonly #relay: StoreRelay;
-  readonly #control: FleetControl;
+  readonly #control: FleetCoordinator;
   readonly #models: ModelCalls;
   readonly #plain: PlainCalls;
   readonly #ingress: IngressServer;
@@ -94,7 +94,7 @@
     this.#log = new BoundedLog(this.#clock, { process: name });
     const log = this.#log;
     this.#store = new ObjectStore(settings.store.address);
-    this.#configuration = new ConfigurationBook(decodeConfiguration, log);
+    this.#configuration = new ActiveConfiguration(decodeConfiguration, log);
     const configuration = this.#followConfiguration();
     const targetList = this.#followTargets();
     this.#followers = [configuration, targetList];
@@ -103,12 +103,12 @@
       targetList,
       targets: this.#targets,
       clock: this.#clock,
-      onTargetsTold: () => this.#control.targetsChanged(),
+      onTargetsUpdated: () => this.#control.handleTargetsChanged(),
     });
-    const repeats = this.#createRepeats();
+    const retries = this.#createRepeats();
     const shared = {
       sender: this.#client,
-      repeats,
+      retries,
       clock: this.#clock,
       random: this.#random,
       log,
@@ -119,23 +119,23 @@
       ...shared,
       groups: this.#groups,
       service: (name) => this.#configuration.service(name),
-      processes: () => this.#control.processes,
-      onSuspected: () => this.#control.groupsSuspected(),
+      processes: () => this.#control.processCount,
+      onGroupsSuspected: () => this.#control.handleGroupsSuspected(),
     });
     this.#plain = new PlainCalls({
       ...shared,
       targets: this.#plainTargets,
-      listed: (service) => this.#targets.ready(service),
+      readyTargets: (service) => this.#targets.ready(service),
     });
     this.#control = this.#createControl();
     this.#ingress = new IngressServer({
-      taker: { take: (call, reply) => this.#take(call, reply) },
-      routes: () => this.#configuration.table,
+      handler: { handle: (call, reply) => this.#take(call, reply) },
+      routes: () => this.#configuration.routes,
       clock: this.#clock,
       random: this.#random,
     });
     this.#inner = new InnerServer({
-      exchange: (word) => this.#control.answer(word),
+      exchange: (word) => this.#control.answerReport(word),
       metrics: () => this.#metrics.expose(),
     });
   }
@@ -148,12 +148,12 @@
 
   /** Whether callers can be served: what they ask for and who serves it. */
   get isReady(): boolean {
-    const isKnown = this.#followers.every(({ isKnown }) => isKnown);
-    return !this.#isStopping && isKnown && this.#configuration.table !== null;
+    const isKnown = this.#followers.every(({ isLoaded }) => isLoaded);
+    return !this.#isStopping && isKnown && this.#configuration.routes !== null;
   }
 
   /** The settings file was named to have changed. */
-  reloaded(): void {
+  handleReload(): void {
     this.#log.info("reload", { in_force: "at the next start" });
   }
 
@@ -165,15 +165,15 @@
     this.#isStopping = true;
     const stoppedAt = this.#clock.now();
     this.#log.info("stopping", { in_flight: this.#ingress.inFlight });
-    this.#ingress.beginStop();
+    this.#ingress.startDraining();
     const grace = this.#settings.bounds.grace_s * MILLISECONDS_A_SECOND;
     const end = stoppedAt + grace - GRACE_MARGIN;
-    await this.#control.giveBack();
+    await this.#control.releaseLease();
     await this.#until(() => {
       const now = this.#clock.now();
       const isOut = now - stoppedAt >= TAKEN_OUT_AFTER;
       if (isOut) {
-        this.#ingress.refuseNew();
+        this.#ingress.refuseNewCalls();
       }
       return now >= end || (isOut && this.#ingress.inFlight === 0);
     });
@@ -208,28 +208,31 @@
 
   #take(call: ICall, reply: ICallReply): () => void {
     this.#hasCalls = true;
-    if (!this.#followers.every(({ isKnown }) => isKnown)) {
+    if (!this.#followers.every(({ isLoaded }) => isLoaded)) {
       reply.refuse({
-        end: CallEnd.NotRun,
-        reason: CallReason.Starting,
+        kind: CallRefusalKind.NotRun,
+        reason: CallRefusalReason.Starting,
         retryAfter: STARTING_RETRY_AFTER,
       });
       return () => undefined;
     }
     const isModelCall = this.#configuration.service(call.service)?.engine;
     return isModelCall
-      ? this.#models.take(call, reply)
-      : this.#plain.take(call, reply);
+      ? this.#models.submit(call, reply)
+      : this.#plain.submit(call, reply);
   }
 
   #followConfiguration(): ObjectFollower {
     return new ObjectFollower(this.#followerParts, {
-      kind: Kind.configuration,
+      kind: ObjectKind.configuration,
       pause: () => 0,
       watchTime: () => this.#watchTime,
       onChanged: ({ objects }) => {
         for (const { name, value } of objects) {
-          if (name === CONFIGURATION_NAME && this.#configuration.take(value)) {
+          if (
+            name === CONFIGURATION_NAME &&
+            this.#configuration.update(value)
+          ) {
             this.#configurationChanged();
           }
         }
@@ -239,20 +242,20 @@
 
   #followTargets(): ObjectFollower {
     return new ObjectFollower(this.#followerParts, {
-      kind: Kind.targets,
+      kind: ObjectKind.targets,
       pause: () =>
-        this.#control.isHolding ? HOLDER_TARGETS_PAUSE : TARGETS_PAUSE,
+        this.#control.isHolder ? HOLDER_TARGETS_PAUSE : TARGETS_PAUSE,
       watchTime: () => this.#watchTime,
       onChanged: (change) => {
-        this.#targets.take(change, this.#clock.now());
-        this.#relay.targetsFollowed(change);
-        this.#control.targetsChanged();
+        this.#targets.applyStoreChanges(change, this.#clock.now());
+        this.#relay.recordTargetChanges(change);
+        this.#control.handleTargetsChanged();
       },
     });
   }
 
   get #watchTime(): number {
-    return this.#control.isHolding ? HOLDER_WATCH_TIME : WATCH_TIME;
+    return this.#control.isHolder ? HOLDER_WATCH_TIME : WATCH_TIME;
   }
 
   get #followerParts(): IFollowerParts {
@@ -265,32 +268,32 @@
   }
 
   #configurationChanged(): void {
-    const table = this.#configuration.table;
+    const table = this.#configuration.routes;
     if (table !== null) {
-      this.#ingress.limit(table.configuration.limits);
+      this.#ingress.setLimits(table.configuration.limits);
     }
-    this.#control.targetsChanged();
+    this.#control.handleTargetsChanged();
   }
 
-  #createRepeats(): RepeatBook {
+  #createRepeats(): ServiceRetryAllowances {
     const { bounds, first_start } = this.#settings;
-    return new RepeatBook(
+    return new ServiceRetryAllowances(
       {
         ratio: bounds.repeat_ratio,
         window: bounds.repeat_window_s * MILLISECONDS_A_SECOND,
         slack: bounds.repeat_slack,
       },
       {
-        processes: () => this.#control.processes,
+        processes: () => this.#control.processCount,
         replacesAnotherSince: first_start ? null : this.#clock.now(),
       },
     );
   }
 
-  #createControl(): FleetControl {
+  #createControl(): FleetCoordinator {
     const { bounds, instance, listen, first_start } = this.#settings;
     const address = `${instance.address}:${listen.inner_port}`;
-    return new FleetControl(
+    return new FleetCoordinator(
       {
         store: this.#store,
         engines: this.#client,
@@ -302,11 +305,11 @@
         configuration: this.#configuration,
         targets: this.#targets,
         groups: this.#groups,
-        work: () => this.#models.work,
+        modelDemand: () => this.#models.demand,
         hasCalls: () => this.#hasCalls,
-        suspects: () => this.#models.suspects,
+        suspects: () => this.#models.suspectedGroups,
         relay: this.#relay,
-        onGroupsChanged: (lost) => this.#models.groupsChanged(lost),
+        onGroupsChanged: (lost) => this.#models.handleGroupsChanged(lost),
       },
       {
         address,
@@ -324,8 +327,8 @@
   }
 
   #keepHouse(): void {
-    if (this.#targets.expire(this.#clock.now())) {
-      this.#control.targetsChanged();
+    if (this.#targets.removeExpired(this.#clock.now())) {
+      this.#control.handleTargetsChanged();
     }
     this.#plainTargets.keepOnly(this.#targets.all);
   }
--- a/src/entry/fleet_control.ts
+++ b/src/entry/fleet_coordinator.ts
@@ -2,30 +2,30 @@
  * The part of a process that knows which groups serve: by ordering them while
  * it holds the lease, else from the holder, else from the platform's list.
  */
-import type { ConfigurationBook } from "../common/calls/configuration_book.ts";
-import type { IModelWork } from "../common/calls/model_calls.ts";
+import type { ActiveConfiguration } from "../common/calls/active_configuration.ts";
+import type { IModelDemand } from "../common/calls/model_calls.ts";
 import { listedGroups } from "../common/calls/listed_groups.ts";
 import type {
   IServingGroup,
   ServingGroups,
 } from "../common/calls/serving_groups.ts";
-import type { TargetBook } from "../common/calls/target_book.ts";
+import type { TargetRegistry } from "../common/calls/target_registry.ts";
 import { DisposableStore } from "../common/disposable.ts";
 import type { IDisposable } from "../common/disposable.ts";
 import { GroupNumbers } from "../common/replicas/group_numbers.ts";
-import { HolderDesk } from "../common/replicas/holder_desk.ts";
-import { HolderListener } from "../common/replicas/holder_listener.ts";
+import { ExchangeServer } from "../common/replicas/exchange_server.ts";
+import { ExchangeClient } from "../common/replicas/exchange_client.ts";
 import type { StoreRelay } from "../common/relay/store_relay.ts";
-import { LeaseKeeper } from "../common/replicas/lease_keeper.ts";
+import { LeaseManager } from "../common/replicas/lease_manager.ts";
 import { ProcessCount } from "../common/replicas/process_count.ts";
 import { ReplicaService } from "../common/replicas/replica_service.ts";
 import type { IReplicaBounds } from "../common/replicas/replica_service.ts";
 import type {
   ExchangeAnswer,
   IHolderLink,
-  IProcessWord,
+  IProcessReport,
 } from "../common/replicas/exchange.ts";
-import type { IEngines } from "../common/replicas/types.ts";
+import type { IEngineClient } from "../common/replicas/types.ts";
 import type {
   IClock,
   ILog,
@@ -48,22 +48,25 @@
 const NAME_SEPARATOR = "/";
 
 /** What is told and heard of the store. */
-export type IStoreRelay = Pick<StoreRelay, "versions" | "word" | "heard">;
+export type IStoreRelay = Pick<
+  StoreRelay,
+  "versions" | "updateFor" | "applyUpdate"
+>;
 
 /** What the control needs. */
-export interface IFleetControlParts {
+export interface IFleetCoordinatorParts {
   readonly store: IObjectStore;
-  readonly engines: IEngines;
+  readonly engines: IEngineClient;
   readonly link: IHolderLink;
   readonly clock: IClock;
   readonly random: IRandom;
   readonly log: ILog;
   readonly metrics: IMetrics;
-  readonly configuration: ConfigurationBook;
-  readonly targets: TargetBook;
+  readonly configuration: ActiveConfiguration;
+  readonly targets: TargetRegistry;
   readonly groups: ServingGroups;
   /** What this process's calls ask of each model. */
-  readonly work: () => readonly IModelWork[];
+  readonly modelDemand: () => readonly IModelDemand[];
   /** Groups that this process found standing still. */
   readonly suspects: () => readonly string[];
   /** Whether this process has had a call. */
@@ -75,7 +78,7 @@
 }
 
 /** How this process takes part. */
-export interface IFleetControlOptions {
+export interface IFleetCoordinatorOptions {
   /** Where the other processes reach this one. */
   readonly address: string;
   readonly zone: ZoneName;
@@ -84,13 +87,13 @@
 }
 
 /** One process's part in ordering the engines. */
-export class FleetControl implements IDisposable {
-  readonly #parts: IFleetControlParts;
-  readonly #options: IFleetControlOptions;
+export class FleetCoordinator implements IDisposable {
+  readonly #parts: IFleetCoordinatorParts;
+  readonly #options: IFleetCoordinatorOptions;
   readonly #owned = new DisposableStore();
-  readonly #lease: LeaseKeeper;
-  readonly #listener: HolderListener;
-  readonly #desk: HolderDesk;
+  readonly #lease: LeaseManager;
+  readonly #listener: ExchangeClient;
+  readonly #desk: ExchangeServer;
   readonly #services = new Map<string, ReplicaService>();
   readonly #numbers = new GroupNumbers();
   readonly #processes = new ProcessCount();
@@ -99,37 +102,40 @@
   /** Groups given up by the holder, as last heard. */
   #givenUp: ReadonlySet<string> = new Set();
 
-  constructor(parts: IFleetControlParts, options: IFleetControlOptions) {
+  constructor(
+    parts: IFleetCoordinatorParts,
+    options: IFleetCoordinatorOptions,
+  ) {
     this.#parts = parts;
     this.#options = options;
     const run = parts.random.identifier();
     const process = `${options.address}${NAME_SEPARATOR}${run}`;
-    this.#lease = new LeaseKeeper(process, {
+    this.#lease = new LeaseManager(process, {
       store: parts.store,
       clock: parts.clock,
       log: parts.log,
-      isHolderHeard: () => this.#listener.isHolderSound,
+      isHolderHealthy: () => this.#listener.isHolderHealthy,
       onAcquired: () => this.#take(),
       onLost: () => this.#releaseIfReplaced(),
     });
-    this.#listener = new HolderListener({
+    this.#listener = new ExchangeClient({
       link: parts.link,
       clock: parts.clock,
       log: parts.log,
       holderAddress: () => this.#holderAddress(),
-      word: (tableVersion) => this.#word(tableVersion),
-      onHeard: () => this.#refresh(),
-      onStoreWord: (word) => parts.relay.heard(word),
+      report: (tableVersion) => this.#word(tableVersion),
+      onReply: () => this.#refresh(),
+      onStoreUpdate: (word) => parts.relay.applyUpdate(word),
       onOtherProcess: (process) => this.#otherAnswers(process),
     });
-    this.#desk = new HolderDesk({
+    this.#desk = new ExchangeServer({
       clock: parts.clock,
-      isInOffice: () => this.#isInOffice,
+      isActiveHolder: () => this.#isInOffice,
       mayOrder: () => this.#lease.mayOrder,
       leaseEpoch: () => this.#lease.epoch,
-      ownWord: () => this.#word(0),
-      storeWord: (versions) => parts.relay.word(versions),
-      onSuspects: (groups) => this.#suspect(groups),
+      ownReport: () => this.#word(0),
+      storeUpdate: (versions) => parts.relay.updateFor(versions),
+      onGroupsSuspected: (groups) => this.#suspect(groups),
     });
   }
 
@@ -149,54 +155,62 @@
   }
 
   /** Whether this process holds the lease, or may still hold it. */
-  get isHolding(): boolean {
+  get isHolder(): boolean {
     return this.#lease.isHolding;
   }
 
   /** Processes that take calls, as far as is known. */
-  get processes(): number {
-    return this.#processes.take(this.#processesHeard, this.#parts.clock.now());
+  get processCount(): number {
+    return this.#processes.update(
+      this.#processesHeard,
+      this.#parts.clock.now(),
+    );
   }
 
   /** Processes heard of at this moment; 0 when nothing is known of them. */
   get #processesHeard(): number {
     if (this.#isInOffice) {
-      return this.#desk.words.length;
+      return this.#desk.reports.length;
     }
     return this.#listener.isFresh ? this.#listener.processes : 0;
   }
 
   /** Answers another process. */
-  answer(word: IProcessWord): Promise<ExchangeAnswer> {
+  answerReport(word: IProcessReport): Promise<ExchangeAnswer> {
     return this.#desk.answer(word);
   }
 
-  targetsChanged(): void {
+  handleTargetsChanged(): void {
     this.#refresh();
   }
 
   /** Groups were found standing still here. */
-  groupsSuspected(): void {
+  handleGroupsSuspected(): void {
     if (this.#isInOffice) {
       this.#suspect(this.#parts.suspects());
     } else {
-      this.#listener.urge();
+      this.#listener.reportNow();
     }
   }
 
-  async giveBack(): Promise<void> {
+  async releaseLease(): Promise<void> {
     if (this.#isInOffice) {
-      const { groups, givenUp, others, words } = this.#desk;
-      const processes = words.length;
-      this.#listener.leaveOffice({ groups, givenUp, others, processes });
+      const { groups, abandonedGroups, othersInFlight, reports } = this.#desk;
+      const processes = reports.length;
+      this.#listener.useTable({
+        groups,
+        abandonedGroups: abandonedGroups,
+        othersInFlight: othersInFlight,
+        processes,
+      });
     }
     this.#release();
-    await this.#lease.giveBack();
+    await this.#lease.release();
   }
 
   get #isInOffice(): boolean {
     const services = [...this.#services.values()];
-    return services.length > 0 && services.every((one) => one.hasLooked);
+    return services.length > 0 && services.every((one) => one.hasReconciled);
   }
 
   #holderAddress(): string | null {
@@ -207,12 +221,12 @@
     return holder.split(NAME_SEPARATOR)[0] ?? null;
   }
 
-  #word(tableVersion: number): IProcessWord {
+  #word(tableVersion: number): IProcessReport {
     return {
       process: this.#lease.process,
       hasCalls: this.#parts.hasCalls(),
-      inFlight: Object.fromEntries(this.#parts.groups.own),
-      work: this.#parts.work(),
+      inFlight: Object.fromEntries(this.#parts.groups.ownInFlight),
+      work: this.#parts.modelDemand(),
       tableVersion,
       suspects: this.#parts.suspects(),
       versions: this.#parts.relay.versions,
@@ -221,7 +235,7 @@
 
   #suspect(groups: readonly string[]): void {
     for (const service of this.#services.values()) {
-      service.suspect(groups);
+      service.suspectGroups(groups);
     }
   }
 
@@ -231,7 +245,7 @@
     const [address] = process.split(NAME_SEPARATOR);
     const isSamePlace = holder?.split(NAME_SEPARATOR)[0] === address;
     if (holder !== null && isSamePlace && holder !== process) {
-      this.#lease.holderEnded(holder);
+      this.#lease.handleHolderEnded(holder);
     }
   }
 
@@ -259,7 +273,7 @@
         clock: this.#parts.clock,
         log: this.#parts.log,
         metrics: this.#parts.metrics,
-        listed: () => targets.of(name),
+        listedTargets: () => targets.ofService(name),
         engine: () => configuration.service(name)?.engine ?? null,
         mayOrder: () => this.#lease.mayOrder,
         nextEpoch: () => this.#numbers.next(this.#lease.epoch),
@@ -289,14 +303,14 @@
   }
 
   get #isBeforeTraffic(): boolean {
-    const hasCalls = this.#desk.words.some((word) => word.hasCalls);
+    const hasCalls = this.#desk.reports.some((word) => word.hasCalls);
     return this.#options.isFirstStart && !hasCalls;
   }
 
   /** Groups that the calls of all processes keep busy, by model. */
   #demand(service: string): ReadonlyMap<string, number> {
     const demand = new Map<string, number>();
-    for (const { work } of this.#desk.words) {
+    for (const { work } of this.#desk.reports) {
       for (const { model, groups, waiting } of work.filter(
         (one) => one.service === service,
       )) {
@@ -311,9 +325,13 @@
     if (!this.#isInOffice) {
       return;
     }
-    const serving = [...this.#services.values()].flatMap((one) => one.serving);
-    const givenUp = [...this.#services.values()].flatMap((one) => one.givenUp);
-    this.#desk.tableChanged(serving, givenUp);
+    const serving = [...this.#services.values()].flatMap(
+      (one) => one.servingGroups,
+    );
+    const givenUp = [...this.#services.values()].flatMap(
+      (one) => one.abandonedGroups,
+    );
+    this.#desk.updateTable(serving, givenUp);
     this.#refresh();
   }
 
@@ -324,7 +342,9 @@
     const believed = this.#believed();
     const lost = this.#lostGroups();
     groups.replace(believed.map((group) => this.#asListed(group)));
-    groups.tellOthers(this.#isInOffice ? this.#desk.others : this.#others);
+    groups.setOthersInFlight(
+      this.#isInOffice ? this.#desk.othersInFlight : this.#others,
+    );
     onGroupsChanged(lost);
   }
 
@@ -350,9 +370,9 @@
 
   get #givenUpByHolder(): readonly string[] {
     if (this.#isInOffice) {
-      return this.#desk.givenUp;
+      return this.#desk.abandonedGroups;
     }
-    return this.#listener.isFresh ? this.#listener.givenUp : [];
+    return this.#listener.isFresh ? this.#listener.abandonedGroups : [];
   }
 
   /** The lease may be had before the configuration is known. */
@@ -369,7 +389,7 @@
   }
 
   get #others(): ReadonlyMap<string, number> | null {
-    return this.#listener.isFresh ? this.#listener.others : null;
+    return this.#listener.isFresh ? this.#listener.othersInFlight : null;
   }
 
   #believed(): readonly IServingGroup[] {
@@ -381,7 +401,7 @@
     }
     const { configuration, targets } = this.#parts;
     return configuration.engineServices.flatMap(([name, engine]) =>
-      listedGroups(targets.of(name), engine),
+      listedGroups(targets.ofService(name), engine),
     );
   }
 
--- a/src/entry/fleet_control_test.ts
+++ b/src/entry/fleet_coordinator_test.ts
@@ -4,25 +4,25 @@
 import { ManualClock } from "../../test/support/manual_clock.ts";
 import { KeptLog, NO_METRICS } from "../../test/support/quiet_services.ts";
 import { SeededRandom } from "../../test/support/seeded_random.ts";
-import { ConfigurationBook } from "../common/calls/configuration_book.ts";
+import { ActiveConfiguration } from "../common/calls/active_configuration.ts";
 import { ServingGroups } from "../common/calls/serving_groups.ts";
-import { TargetBook } from "../common/calls/target_book.ts";
+import { TargetRegistry } from "../common/calls/target_registry.ts";
 import { ListedState, MemberState } from "../common/calls/types.ts";
 import type {
   IConfiguration,
   IEngineState,
   IListedTarget,
 } from "../common/calls/types.ts";
-import type { IHolderLink, IHolderWord } from "../common/replicas/exchange.ts";
+import type { IHolderLink, IHolderReply } from "../common/replicas/exchange.ts";
 import { OrderKind, OrderOutcome } from "../common/replicas/types.ts";
-import type { EngineOrder, IEngines } from "../common/replicas/types.ts";
+import type { EngineOrder, IEngineClient } from "../common/replicas/types.ts";
 import { WriteFailureKind } from "../common/services/services.ts";
 import type {
   IObjectStore,
   IPlatformObject,
 } from "../common/services/services.ts";
-import { FleetControl } from "./fleet_control.ts";
-import type { IStoreRelay } from "./fleet_control.ts";
+import { FleetCoordinator } from "./fleet_coordinator.ts";
+import type { IStoreRelay } from "./fleet_coordinator.ts";
 
 const ENGINES = 10;
 
@@ -65,8 +65,8 @@
 /** Each process asks the store for itself. */
 const NO_RELAY: IStoreRelay = {
   versions: { configuration: 0, targets: 0 },
-  word: () => null,
-  heard: () => undefined,
+  updateFor: () => null,
+  applyUpdate: () => undefined,
 };
 
 /** One object, and whether the store answers. */
@@ -111,14 +111,14 @@
 const AWAY = { kind: "unknown", detail: "away" } as never;
 
 /** Engines that do at once what they are told, and keep the orders. */
-class ObedientEngines implements IEngines {
+class ObedientEngines implements IEngineClient {
   readonly states = new Map<string, IEngineState>();
   /** Engines that answer nothing any more. */
   readonly dead = new Set<string>();
   readonly orders: { readonly engine: string; readonly order: EngineOrder }[] =
     [];
 
-  async report({ id }: { readonly id: string }) {
+  async fetchReport({ id }: { readonly id: string }) {
     if (this.dead.has(id)) {
       return Err(AWAY);
     }
@@ -126,7 +126,7 @@
     return Ok({ startedAt: 1, queued: 0, running: 0, pace: 1, engine });
   }
 
-  async order({ id }: { readonly id: string }, order: EngineOrder) {
+  async sendOrder({ id }: { readonly id: string }, order: EngineOrder) {
     if (this.dead.has(id)) {
       return OrderOutcome.Unknown;
     }
@@ -155,9 +155,9 @@
   readonly store = new SmallStore();
   readonly engines = new ObedientEngines();
   /** By address; one that is not here does not answer. */
-  readonly controls = new Map<string, FleetControl>();
+  readonly controls = new Map<string, FleetCoordinator>();
   /** Changes what the holder says on its way. */
-  edit: (word: IHolderWord) => IHolderWord = (word) => word;
+  edit: (word: IHolderReply) => IHolderReply = (word) => word;
 
   readonly link: IHolderLink = {
     exchange: async (address, word) => {
@@ -165,7 +165,7 @@
       if (control === undefined) {
         return Err(AWAY);
       }
-      const answer = await control.answer(word);
+      const answer = await control.answerReport(word);
       return Ok(
         answer.isHolder ? { ...answer, word: this.edit(answer.word) } : answer,
       );
@@ -215,19 +215,19 @@
 class Play {
   readonly groups = new ServingGroups();
   readonly log = new KeptLog();
-  readonly control: FleetControl;
+  readonly control: FleetCoordinator;
   readonly lost: string[] = [];
   /** The fewest groups that calls could be sent to since it was set. */
   fewest = Number.POSITIVE_INFINITY;
   hasCalls = false;
 
   constructor(world: World, address = "127.0.0.1:1") {
-    const configuration = new ConfigurationBook(
+    const configuration = new ActiveConfiguration(
       () => Ok(CONFIGURATION),
       this.log,
     );
-    configuration.take({});
-    const targets = new TargetBook(decode, 2_000);
+    configuration.update({});
+    const targets = new TargetRegistry(decode, 2_000);
     const objects = Array.from({ length: ENGINES }, (_, index) => ({
       kind: "targets",
       name: `engine-${index}`,
@@ -235,13 +235,13 @@
       value: {},
     }));
     const whole = {
-      isWhole: true,
+      isFullList: true,
       isAfterOutage: false,
       removed: [],
       version: 1,
     };
-    targets.take({ ...whole, objects }, 0);
-    this.control = new FleetControl(
+    targets.applyStoreChanges({ ...whole, objects }, 0);
+    this.control = new FleetCoordinator(
       {
         store: world.store,
         engines: world.engines,
@@ -253,7 +253,7 @@
         configuration,
         targets,
         groups: this.groups,
-        work: () => [],
+        modelDemand: () => [],
         suspects: () => [],
         hasCalls: () => this.hasCalls,
         relay: NO_RELAY,
@@ -354,9 +354,9 @@
     const world = new World();
     const [holder, other] = await startBoth(world);
     const { serving } = other;
-    await holder.control.giveBack();
+    await holder.control.releaseLease();
     await world.advance(1_000);
-    expect(other.control.isHolding).to.equal(true);
+    expect(other.control.isHolder).to.equal(true);
     expect(other.lost).to.deep.equal([]);
     expect(other.serving).to.deep.equal(serving);
     holder.control.dispose();
@@ -369,9 +369,9 @@
     const world = new World();
     const [holder, other] = await startBoth(world);
     other.fewest = other.serving.length;
-    await holder.control.giveBack();
+    await holder.control.releaseLease();
     await world.advance(1_000);
-    expect(other.control.isHolding).to.equal(true);
+    expect(other.control.isHolder).to.equal(true);
     expect(other.fewest).to.equal(3);
     holder.control.dispose();
     other.control.dispose();
@@ -402,14 +402,14 @@
     const before = new Set(other.serving);
     world.killMember();
     await world.advanceUntilOpened();
-    await holder.control.giveBack();
+    await holder.control.releaseLease();
     await world.advance(600);
-    expect(other.control.isHolding).to.equal(true);
+    expect(other.control.isHolder).to.equal(true);
     const opened = other.serving.filter((group) => !before.has(group));
     expect(opened).to.have.length(1);
     other.lost.length = 0;
     other.fewest = other.serving.length;
-    await other.control.giveBack();
+    await other.control.releaseLease();
     await world.advance(1_000);
     expect(other.lost).to.deep.equal([]);
     expect(other.fewest).to.equal(3);
--- a/src/entry/main.ts
+++ b/src/entry/main.ts
@@ -28,7 +28,7 @@
   };
   process.on("SIGTERM", stop);
   process.on("SIGINT", stop);
-  process.on("SIGHUP", () => entry.reloaded());
+  process.on("SIGHUP", () => entry.handleReload());
 }
 
 void main();
--- a/test/support/calls.ts
+++ b/test/support/calls.ts
@@ -1,8 +1,8 @@
 /** Builders and receivers for tests of the request path. */
 import { CallKind } from "../../src/common/calls/types.ts";
 import type {
-  IAnswerHead,
-  IAnswerReceiver,
+  IResponseHead,
+  IResponseReceiver,
   ICall,
   ICallRefusal,
   ICallReply,
@@ -42,10 +42,10 @@
     tokens: { prompt: 1_000, output: 100 },
     arrivedAt: 0,
     deadline: 8_000,
-    lastEvent: null,
+    lastEventId: null,
     message: {
       method: "POST",
-      target: "/briefs/1?x=2",
+      requestTarget: "/briefs/1?x=2",
       headers: ["Host", "news.example", "X-Attempt-Id", "attempt-1"],
       body: new TextEncoder().encode("text"),
     },
@@ -54,8 +54,8 @@
 }
 
 /** Keeps what a send brought, and tells when it is over. */
-export class KeptAnswer implements IAnswerReceiver {
-  answerHead: IAnswerHead | null = null;
+export class KeptAnswer implements IResponseReceiver {
+  answerHead: IResponseHead | null = null;
   text = "";
   failure: SendFailure | null = null;
   detail = "";
@@ -68,19 +68,19 @@
     });
   }
 
-  head(head: IAnswerHead): void {
+  onHead(head: IResponseHead): void {
     this.answerHead = head;
   }
 
-  piece(bytes: Uint8Array): void {
+  onData(bytes: Uint8Array): void {
     this.text += new TextDecoder().decode(bytes);
   }
 
-  ended(): void {
+  onEnd(): void {
     this.#resolve();
   }
 
-  failed(failure: SendFailure, detail: string): void {
+  onFailure(failure: SendFailure, detail: string): void {
     this.failure = failure;
     this.detail = detail;
     this.#resolve();
@@ -90,20 +90,20 @@
 /** Keeps what a caller got. */
 export class KeptReply implements ICallReply {
   text = "";
-  head: IAnswerHead | null = null;
+  head: IResponseHead | null = null;
   isEnded = false;
   isBroken = false;
   refusal: ICallRefusal | null = null;
 
-  get isBegun(): boolean {
+  get isStarted(): boolean {
     return this.head !== null;
   }
 
-  begin(head: IAnswerHead): void {
+  start(head: IResponseHead): void {
     this.head = head;
   }
 
-  piece(bytes: Uint8Array): void {
+  write(bytes: Uint8Array): void {
     this.text += new TextDecoder().decode(bytes);
   }
 
@@ -115,7 +115,7 @@
     this.refusal = refusal;
   }
 
-  breakOff(): void {
+  reset(): void {
     this.isBroken = true;
   }
 }
--- a/test/support/engines.ts
+++ b/test/support/engines.ts
@@ -5,7 +5,7 @@
   IListedTarget,
   IModel,
 } from "../../src/common/calls/types.ts";
-import type { IEngineView } from "../../src/common/replicas/engine_book.ts";
+import type { IEngineView } from "../../src/common/replicas/engine_registry.ts";
 
 /** Two models as published: of four members and of two. */
 export const LARGE: IModel = {
@@ -65,9 +65,9 @@
     isDraining: false,
     state,
     askedAt: 0,
-    heardAt: 0,
+    answeredAt: 0,
     isSilent: false,
-    isOutOfReach: false,
+    isUnreachable: false,
     startedAt: 1,
     pace: 1,
     ...part,
--- a/test/support/member_network.ts
+++ b/test/support/member_network.ts
@@ -2,7 +2,7 @@
  * Membership state machines on a network in memory with a clock of its own:
  * messages are delayed, lost and cut as told, the same way for a seed.
  */
-import { Membership } from "../../src/common/membership/membership.ts";
+import { SwimMembership } from "../../src/common/membership/swim_membership.ts";
 import {
   MEMBERSHIP_TIMING,
   PROBE_TIMEOUT,
@@ -12,7 +12,7 @@
 import type {
   IMember,
   IMemberMessage,
-  IMemberNews,
+  IMemberUpdate,
   MembershipAction,
 } from "../../src/common/membership/types.ts";
 import type { IHash, IRandom } from "../../src/common/services/services.ts";
@@ -20,7 +20,7 @@
 /** One node, with what the network does to it. */
 export interface INode {
   readonly member: IMember;
-  readonly membership: Membership;
+  readonly membership: SwimMembership;
   isUp: boolean;
   /** Nodes of different sides do not reach one another. */
   side: number;
@@ -37,7 +37,7 @@
   /** Told each message sent, for counting. */
   readonly onSent?: (from: IMember, message: IMemberMessage) => void;
   /** Told each whole view sent. */
-  readonly onView?: (from: IMember, view: readonly IMemberNews[]) => void;
+  readonly onView?: (from: IMember, view: readonly IMemberUpdate[]) => void;
 }
 
 interface IEvent {
@@ -69,11 +69,11 @@
   add(name: string, zone: string, contacts: readonly IMember[]): INode {
     const member = { daemon: name, zone, peerAddress: `10.0.0.1:${name}` };
     const { random, hash } = this.#options;
-    const membership = new Membership(member, MEMBERSHIP_TIMING, {
+    const membership = new SwimMembership(member, MEMBERSHIP_TIMING, {
       random,
       hash,
     });
-    membership.learned(contacts);
+    membership.addContacts(contacts);
     const node: INode = { member, membership, isUp: true, side: 0 };
     this.#nodes.set(name, node);
     const phase = random.next() * MEMBERSHIP_TIMING.period;
@@ -156,8 +156,8 @@
     answered: (answer: IMemberMessage) => void,
   ): void {
     this.#send(node, target, message, (other) => {
-      this.#perform(other, other.membership.probed(message, this.#now));
-      const answer = other.membership.answer(message.from.member.daemon);
+      this.#perform(other, other.membership.handleProbe(message, this.#now));
+      const answer = other.membership.composeAnswer(message.from.member.daemon);
       this.#send(other, node.member, answer, () => answered(answer));
     });
   }
@@ -170,7 +170,7 @@
     const { view } = other.membership;
     this.#options.onView?.(target, view);
     this.#after(this.#options.delay, () =>
-      this.#perform(node, node.membership.synchronized(view, this.#now)),
+      this.#perform(node, node.membership.mergeView(view, this.#now)),
     );
   }
 
@@ -183,14 +183,17 @@
     this.#after(timeout, () => {
       if (!isSettled && node.isUp) {
         isSettled = true;
-        this.#perform(node, node.membership.failed(probe, this.#now));
+        this.#perform(
+          node,
+          node.membership.handleProbeFailure(probe, this.#now),
+        );
       }
     });
     return (answer) => {
       if (!isSettled) {
         isSettled = true;
         const { membership } = node;
-        this.#perform(node, membership.answered(probe, answer, this.#now));
+        this.#perform(node, membership.handleAnswer(probe, answer, this.#now));
       }
     };
   }
--- a/test/support/model_calls_play.ts
+++ b/test/support/model_calls_play.ts
@@ -3,14 +3,14 @@
   CHECK_PERIOD,
   ModelCalls,
 } from "../../src/common/calls/model_calls.ts";
-import { RepeatBook } from "../../src/common/calls/repeat_book.ts";
+import { ServiceRetryAllowances } from "../../src/common/calls/service_retry_allowances.ts";
 import { ServingGroups } from "../../src/common/calls/serving_groups.ts";
 import type { IServingGroup } from "../../src/common/calls/serving_groups.ts";
 import type {
-  IAnswerHead,
-  IAnswerReceiver,
+  IResponseHead,
+  IResponseReceiver,
   ICall,
-  IEngineModel,
+  IEngineProfile,
   ISendOptions,
 } from "../../src/common/calls/types.ts";
 import { callOf, KeptReply } from "./calls.ts";
@@ -19,7 +19,7 @@
 import { KeptLog, NO_METRICS } from "./quiet_services.ts";
 import { SeededRandom } from "./seeded_random.ts";
 
-const ENGINE: IEngineModel = {
+const ENGINE: IEngineProfile = {
   models: [LARGE],
   slots: 2,
   memoryTokens: 1_000_000,
@@ -37,11 +37,11 @@
 };
 
 /** The head of a successful answer. */
-export const HEAD: IAnswerHead = {
+export const HEAD: IResponseHead = {
   status: 200,
   headers: [],
   isNotRun: false,
-  isForeign: false,
+  isForOtherRequest: false,
   load: null,
 };
 
@@ -65,7 +65,7 @@
   readonly target: string;
   /** The id of the call. */
   readonly call: string;
-  readonly options: ISendOptions & { readonly receiver: IAnswerReceiver };
+  readonly options: ISendOptions & { readonly receiver: IResponseReceiver };
   isAborted: boolean;
 }
 
@@ -79,7 +79,7 @@
 
   constructor(names: readonly string[], slack = 100) {
     this.groups.replace(names.map(group));
-    this.groups.tellOthers(new Map());
+    this.groups.setOthersInFlight(new Map());
     this.calls = new ModelCalls({
       groups: this.groups,
       sender: {
@@ -94,7 +94,7 @@
           return { abort: () => (send.isAborted = true) };
         },
       },
-      repeats: new RepeatBook(
+      retries: new ServiceRetryAllowances(
         { ratio: 0.2, window: 10_000, slack },
         { processes: () => 1, replacesAnotherSince: null },
       ),
@@ -105,7 +105,7 @@
       metrics: NO_METRICS,
       zone: "one",
       processes: () => 1,
-      onSuspected: () => undefined,
+      onGroupsSuspected: () => undefined,
     });
     this.clock.every(CHECK_PERIOD, () => this.calls.check());
   }
@@ -114,7 +114,7 @@
     const reply = new KeptReply();
     const now = this.clock.now();
     const call = callOf({ arrivedAt: now, deadline: now + 8_000, ...part });
-    return { reply, leave: this.calls.take(call, reply) };
+    return { reply, leave: this.calls.submit(call, reply) };
   }
 
   send(index: number): ISend {
@@ -128,6 +128,6 @@
   event(index: number, id: number): void {
     const { receiver } = this.send(index).options;
     const text = `id: ${id}\ndata: x\n\n`;
-    receiver.piece(new TextEncoder().encode(text));
+    receiver.onData(new TextEncoder().encode(text));
   }
 }
