--- a/src/common/groups/formation_test.ts
+++ b/src/common/groups/formation_test.ts
@@ -150,7 +150,7 @@
       [new MemberMonitor(WATCH), others],
     ] as const) {
       watch.update(domain.instances, known, domain.now);
-      const view = { ...domain.view, watch, reports: known };
+      const view = { ...domain.view, monitor: watch, reports: known };
       expect(planGroupChange(domain.record, WANTED, view, POLICY)).to.equal(
         null,
       );
--- a/src/common/replicas/group_controller_test.ts
+++ b/src/common/replicas/group_controller_test.ts
@@ -239,7 +239,7 @@
   it("waits for a member whose zone is out of reach", () => {
     const keeper = newKeeper();
     const state = memberOf(PLAN, 0, MemberState.Open);
-    const lost = { state: null, isSilent: true, isOutOfReach: true };
+    const lost = { state: null, isSilent: true, isUnreachable: true };
     const views = viewsOf(
       engineView("head", { state, askedAt: 100 }),
       engineView("tail", lost),
