--- a/src/common/calls/demand_estimator.ts
+++ b/src/common/calls/demand_estimator.ts
@@ -1,62 +1,67 @@
 /**
- * How many groups' whole time the calls of one model ask for.
+ * Estimates how many groups the calls of one model fully occupy.
  *
- * Pattern of load: few calls with long prompts beside many with short ones.
- * Counted by requests in flight the first look small until their groups are
- * full; then they queue, and only the queue shows what was missing. The time
- * that a call takes of a group is known when it arrives: reading its prompt
- * takes the group alone, writing is shared with the rest of the batch.
+ * With few calls of long prompts beside many of short ones, a count of requests
+ * in flight makes the long ones look small until their groups are full; then
+ * they queue, and only the queue shows the missing capacity. The time that a
+ * call takes of a group is known when it arrives: its prefill occupies the
+ * group alone, its decoding is shared with the rest of the batch.
  */
 import type { MonotonicTime } from "../types.ts";
 import { prefillMs, stepTime } from "./engine_timing.ts";
 import type { IEngineProfile, IModel, ITokenEstimate } from "./types.ts";
 
 /** Time constant of the rate, milliseconds: some run times. */
-const MEMORY = 4_000;
+const TIME_CONSTANT = 4_000;
 
-/** Announced output is a maximum; before answers were seen, this part of it. */
-const FIRST_OUTPUT_PART = 0.5;
+/** Share of the announced maximum output that is assumed at first. */
+const INITIAL_OUTPUT_SHARE = 0.5;
 
-/** Weight of the newest answer in the part of the output that is written. */
+/** Weight of the newest response in the share of the output. */
 const NEWEST_WEIGHT = 1 / 32;
 
-/** The work of one model in one process. */
+/** The demand for one model in one process. */
 export class DemandEstimator {
   #rate = 0;
-  #countedAt: MonotonicTime | null = null;
-  #outputPart = FIRST_OUTPUT_PART;
+  #decayedAt: MonotonicTime | null = null;
+  #outputShare = INITIAL_OUTPUT_SHARE;
 
-  /** A call has arrived. */
+  /** Adds an arriving call. */
   recordCall(
     call: { readonly tokens: ITokenEstimate; readonly now: MonotonicTime },
     engine: IEngineProfile,
     model: IModel,
   ): void {
-    const output = call.tokens.output * this.#outputPart;
+    const output = call.tokens.output * this.#outputShare;
     const step = stepTime(engine, engine.slots, 0);
-    const writing = (output * step) / engine.slots;
-    const time = (prefillMs(engine, call.tokens.prompt) + writing) * model.pace;
+    const decoding = (output * step) / engine.slots;
+    const time =
+      (prefillMs(engine, call.tokens.prompt) + decoding) * model.pace;
     this.#decay(call.now);
-    this.#rate += time / MEMORY;
+    this.#rate += time / TIME_CONSTANT;
   }
 
-  /** An answer was written whole. @param written - tokens */
+  /**
+   * Records a complete response.
+   *
+   * @param written - tokens
+   */
   recordOutput(written: number, announced: number): void {
     if (announced > 0) {
-      const part = Math.min(1, written / announced);
-      this.#outputPart += (part - this.#outputPart) * NEWEST_WEIGHT;
+      const share = Math.min(1, written / announced);
+      this.#outputShare += (share - this.#outputShare) * NEWEST_WEIGHT;
     }
   }
 
-  /** Groups that are wholly busy with what arrives. */
+  /** Number of groups that the arriving calls fully occupy. */
   groupsNeeded(now: MonotonicTime): number {
     this.#decay(now);
     return this.#rate;
   }
 
   #decay(now: MonotonicTime): void {
-    const gap = now - (this.#countedAt ?? now);
-    this.#countedAt = now;
-    this.#rate *= Math.exp(-gap / MEMORY);
+    const gap = now - (this.#decayedAt ?? now);
+    this.#decayedAt = now;
+    this.#rate *= Math.exp(-gap / TIME_CONSTANT);
   }
 }
--- a/src/common/calls/drain_rate.ts
+++ b/src/common/calls/drain_rate.ts
@@ -1,21 +1,21 @@
 /**
- * How fast waiting calls of one model leave, and so when a refused caller
- * should come back. Callers sent back to the same moment come as a second
- * wave; the answer is spread by chance.
+ * The rate at which waiting calls of one model are started, and the retry-after
+ * time of refused callers that follows from it. Callers sent back to the same
+ * moment would arrive as a second burst, so the time is randomized.
  */
 import type { MonotonicTime } from "../types.ts";
 
-/** The rate is taken over this span, milliseconds: some run times. */
+/** Span over which the rate is measured, milliseconds: some run times. */
 const WINDOW = 3_000;
 
-/** Shortest and longest time until a caller should come back, milliseconds. */
-const SHORTEST = 100;
-const LONGEST = 3_000;
+/** Shortest and longest retry-after time, milliseconds. */
+const SHORTEST_RETRY_AFTER = 100;
+const LONGEST_RETRY_AFTER = 3_000;
 
-/** Part of the answer that is left to chance. */
+/** Share of the retry-after time that is random. */
 const SPREAD = 0.5;
 
-/** Counts calls as they are started. */
+/** Measures how fast calls are started. */
 export class DrainRate {
   #starts: MonotonicTime[] = [];
 
@@ -24,7 +24,7 @@
     this.#expire(now);
   }
 
-  /** Milliseconds until so many have left; infinite while none leave. */
+  /** Milliseconds until so many calls are started; infinite while none are. */
   timeToDrain(waiting: number, now: MonotonicTime): number {
     this.#expire(now);
     const rate = this.#starts.length / WINDOW;
@@ -33,17 +33,20 @@
 
   /** Milliseconds after which a refused caller finds room. */
   retryAfter(waiting: number, now: MonotonicTime, chance: number): number {
-    const time = Math.min(LONGEST, this.timeToDrain(waiting, now));
-    return Math.max(SHORTEST, time * (1 - SPREAD / 2 + SPREAD * chance));
+    const time = Math.min(LONGEST_RETRY_AFTER, this.timeToDrain(waiting, now));
+    return Math.max(
+      SHORTEST_RETRY_AFTER,
+      time * (1 - SPREAD / 2 + SPREAD * chance),
+    );
   }
 
   #expire(now: MonotonicTime): void {
-    let old = 0;
-    while ((this.#starts[old] ?? now) < now - WINDOW) {
-      old += 1;
+    let expired = 0;
+    while ((this.#starts[expired] ?? now) < now - WINDOW) {
+      expired += 1;
     }
-    if (old > 0) {
-      this.#starts = this.#starts.slice(old);
+    if (expired > 0) {
+      this.#starts = this.#starts.slice(expired);
     }
   }
 }
--- a/src/common/calls/engine_timing.ts
+++ b/src/common/calls/engine_timing.ts
@@ -1,11 +1,11 @@
-/** What a group's times should be, by the published model of its engine. */
+/** The expected times of a group, by the published profile of its engine. */
 import type { IEngineProfile, IModel, ITokenEstimate } from "./types.ts";
 
-/** Tokens in a thousand and in a million, as the published figures count. */
+/** Units of the published figures: a thousand tokens, a million pairs. */
 const THOUSAND = 1_000;
 const MILLION = 1_000_000;
 
-/** Milliseconds of one token step with so many requests writing. */
+/** Milliseconds of one token step with so many requests in decoding. */
 export function stepTime(
   engine: IEngineProfile,
   running: number,
@@ -18,7 +18,7 @@
   );
 }
 
-/** Milliseconds to read a prompt by itself. */
+/** Milliseconds of prefill for a prompt by itself. */
 export function prefillMs(engine: IEngineProfile, prompt: number): number {
   const pairs = (prompt * prompt) / 2 / MILLION;
   return (
@@ -27,7 +27,7 @@
   );
 }
 
-/** Milliseconds between two events of a full group that reads no prompt. */
+/** Milliseconds between two events of a full group without prefill. */
 export function fullBatchGap(engine: IEngineProfile, model: IModel): number {
   const step = stepTime(engine, engine.slots, 0);
   return step * engine.stride * model.pace;
@@ -35,7 +35,7 @@
 
 /**
  * Milliseconds between two events of a full group while one chunk of a prompt
- * is read.
+ * is prefilled.
  */
 export function gapDuringPrefill(
   engine: IEngineProfile,
@@ -44,17 +44,17 @@
   return fullBatchGap(engine, model) + chunkTime(engine, model);
 }
 
-/** The same in the worst regular case: a chunk is read in each step. */
+/** The same in the worst regular case: each step prefills a chunk. */
 export function longestGap(engine: IEngineProfile, model: IModel): number {
-  const reading = chunkTime(engine, model) * engine.stride;
-  return fullBatchGap(engine, model) + reading;
+  const prefill = chunkTime(engine, model) * engine.stride;
+  return fullBatchGap(engine, model) + prefill;
 }
 
 function chunkTime(engine: IEngineProfile, model: IModel): number {
   return prefillMs(engine, engine.chunk) * model.pace;
 }
 
-/** Milliseconds from the start of reading to the last token, batch given. */
+/** Milliseconds from the start of prefill to the last token, in a batch. */
 export function runTime(
   engine: IEngineProfile,
   model: IModel,
--- a/src/common/calls/event_splitter.ts
+++ b/src/common/calls/event_splitter.ts
@@ -1,8 +1,8 @@
 /**
- * Cuts a stream of bytes into whole events and reads their ids. A target may
- * stop in the middle of an event; passing its half on would join it to the
- * first event of the run that goes on elsewhere, and the caller would read
- * one event made of two.
+ * Splits a stream of bytes into complete events and reads their ids. A target
+ * may stop in the middle of an event. If that part were passed on, it would be
+ * joined to the first event of the target that continues the stream, and the
+ * caller would read one event made of two.
  */
 
 const NEWLINE = 10;
@@ -11,36 +11,37 @@
 /** The line that gives an event's id, such as `id: 12`. */
 const ID_LINE = /^id:[ ]?(.*)$/m;
 
-/** Longest event that is held back, bytes; a longer one is a broken stream. */
+/** Longest event that is buffered, bytes; a longer one is a broken stream. */
 export const LONGEST_EVENT = 1_048_576;
 
-/** One whole event with the blank line that ends it. */
-export interface IWholeEvent {
+/** A complete event with the blank line that ends it. */
+export interface ICompleteEvent {
   readonly bytes: Uint8Array;
-  /** Null where the event has none. */
+  /** Null if the event has none. */
   readonly id: string | null;
 }
 
 const EMPTY = new Uint8Array(0);
 
-/** Splits the pieces of one run. */
+/** Splits the data of one response. */
 export class EventSplitter {
   readonly #decoder = new TextDecoder();
-  #held: Uint8Array = EMPTY;
+  #buffered: Uint8Array = EMPTY;
 
-  /** Whether part of an event is held back. */
+  /** Whether part of an event is buffered. */
   get hasPartialEvent(): boolean {
-    return this.#held.length > 0;
+    return this.#buffered.length > 0;
   }
 
   get isTooLong(): boolean {
-    return this.#held.length > LONGEST_EVENT;
+    return this.#buffered.length > LONGEST_EVENT;
   }
 
-  /** Takes a piece and returns the events that are whole now. */
-  push(piece: Uint8Array): readonly IWholeEvent[] {
-    const bytes = this.#held.length === 0 ? piece : join(this.#held, piece);
-    const events: IWholeEvent[] = [];
+  /** Adds data and returns the events that are now complete. */
+  push(data: Uint8Array): readonly ICompleteEvent[] {
+    const bytes =
+      this.#buffered.length === 0 ? data : concatenate(this.#buffered, data);
+    const events: ICompleteEvent[] = [];
     let start = 0;
     let end = endOfEvent(bytes, start);
     while (end !== null) {
@@ -49,7 +50,7 @@
       start = end;
       end = endOfEvent(bytes, start);
     }
-    this.#held = bytes.slice(start);
+    this.#buffered = bytes.slice(start);
     return events;
   }
 
@@ -59,7 +60,7 @@
   }
 }
 
-/** Where the event that begins at `start` ends; null while it is not whole. */
+/** The end of the event that begins at `start`; null while it is incomplete. */
 function endOfEvent(bytes: Uint8Array, start: number): number | null {
   let isLineEmpty = true;
   for (let index = start; index < bytes.length; index += 1) {
@@ -75,7 +76,7 @@
   return null;
 }
 
-function join(one: Uint8Array, other: Uint8Array): Uint8Array {
+function concatenate(one: Uint8Array, other: Uint8Array): Uint8Array {
   const joined = new Uint8Array(one.length + other.length);
   joined.set(one);
   joined.set(other, one.length);
--- a/src/common/calls/event_splitter_test.ts
+++ b/src/common/calls/event_splitter_test.ts
@@ -5,7 +5,7 @@
 const encoder = new TextEncoder();
 const decoder = new TextDecoder();
 
-/** Feeds a text cut at the given places and returns what came whole. */
+/** Pushes a text cut at the given places and returns the complete events. */
 function split(text: string, cuts: readonly number[]) {
   const splitter = new EventSplitter();
   const bytes = encoder.encode(text);
@@ -19,30 +19,34 @@
     }
     start = place;
   }
-  return { events, hasRest: splitter.hasPartialEvent };
+  return { events, hasPartialEvent: splitter.hasPartialEvent };
 }
 
-describe("splitting a stream into events", () => {
+describe("EventSplitter", () => {
   it("gives the same events wherever the bytes are cut", () => {
     const text = "id: 1\ndata: a\n\nid: 2\ndata: ü\n\nid: 3\r\ndata: c\r\n\r\n";
     fc.assert(
       fc.property(fc.array(fc.nat()), (cuts) => {
-        const { events, hasRest } = split(text, cuts);
+        const { events, hasPartialEvent } = split(text, cuts);
         expect(events.map(({ id }) => id)).to.deep.equal(["1", "2", "3"]);
         expect(events.map((event) => event.text).join("")).to.equal(text);
-        expect(hasRest).to.equal(false);
+        expect(hasPartialEvent).to.equal(false);
       }),
       { seed: 20261203 },
     );
   });
 
-  // An engine crashes while it writes an event, and the stream goes on at
-  // another one. Were the half passed on, the caller would read an event made
-  // of two halves, with the text of one and the id of the other.
-  it("holds half an event back", () => {
-    const { events, hasRest } = split("id: 1\ndata: a\n\nid: 2\nda", []);
+  // Guards against an event made of two: an engine crashes while it writes an
+  // event, and the stream continues at another one. If the first half were
+  // passed on, the caller would read the text of one event with the id of the
+  // other.
+  it("buffers an incomplete event", () => {
+    const { events, hasPartialEvent } = split(
+      "id: 1\ndata: a\n\nid: 2\nda",
+      [],
+    );
     expect(events).to.have.length(1);
-    expect(hasRest).to.equal(true);
+    expect(hasPartialEvent).to.equal(true);
   });
 
   it("passes on an event without an id", () => {
--- a/src/common/calls/first_event_time_estimator.ts
+++ b/src/common/calls/first_event_time_estimator.ts
@@ -1,33 +1,33 @@
 /**
- * How soon a group that is not overloaded answers with the first event, beyond
- * reading the prompt. From it follows until when a waiting call can still be on
- * time. Kept low on purpose: a call is taken for late only if even a quick
- * group could not make up for its wait.
+ * Estimates how soon a group that is not overloaded sends the first event, not
+ * counting the prefill of the prompt. It decides until when a waiting call can
+ * still be on time. The estimate is deliberately low: a call counts as late
+ * only if even a fast group could not make up for its wait.
  */
 
-/** Weight of a sample that is quicker than what is known. */
-const QUICKER_WEIGHT = 1 / 4;
+/** Weight of a sample below the estimate. */
+const LOWER_SAMPLE_WEIGHT = 1 / 4;
 
-/** Weight of a slower one: a tenth, so the estimate stays near the quick end. */
-const SLOWER_WEIGHT = 1 / 40;
+/** Weight of one above it: a tenth, so the estimate stays near the fast end. */
+const HIGHER_SAMPLE_WEIGHT = 1 / 40;
 
-/** The quick end of the first events of one model. */
+/** The fast end of the first event times of one model. */
 export class FirstEventTimeEstimator {
-  #time: number | null = null;
+  #estimate: number | null = null;
 
-  /** Milliseconds beyond reading; 0 before the first answer. */
+  /** Milliseconds without prefill; 0 before the first sample. */
   get estimate(): number {
-    return this.#time ?? 0;
+    return this.#estimate ?? 0;
   }
 
-  /** A first event came. @param time - milliseconds beyond reading */
+  /** @param time - milliseconds to a first event, without prefill */
   addSample(time: number): void {
-    if (this.#time === null) {
-      this.#time = time;
+    if (this.#estimate === null) {
+      this.#estimate = time;
       return;
     }
-    const isQuicker = time < this.#time;
-    const weight = isQuicker ? QUICKER_WEIGHT : SLOWER_WEIGHT;
-    this.#time += (time - this.#time) * weight;
+    const isLower = time < this.#estimate;
+    const weight = isLower ? LOWER_SAMPLE_WEIGHT : HIGHER_SAMPLE_WEIGHT;
+    this.#estimate += (time - this.#estimate) * weight;
   }
 }
--- a/src/common/calls/model_attempts_test.ts
+++ b/src/common/calls/model_attempts_test.ts
@@ -12,16 +12,16 @@
 const STEP = 20;
 /** Longer than the latest deadline, milliseconds. */
 const PLAYED_TIME = 10_000;
-/** Milliseconds that requests, events and aborts take. */
+/** Latency of requests, events and aborts, milliseconds. */
 const LATENCY = 60;
 const EVENT_GAP = 40;
 const LAST_EVENT = 5;
 
 enum Outcome {
   Whole = "whole",
-  /** The group has lost a member and begins nothing. */
-  Still = "still",
-  /** It answers with a failure of its own. */
+  /** The group has lost a member and starts nothing. */
+  Stalled = "still",
+  /** It responds with a server error. */
   Failure = "failure",
   /** The connection is reset after some events. */
   Reset = "reset",
@@ -30,7 +30,7 @@
 /** What a target does with one send. */
 interface ITargetPlan {
   readonly outcome: Outcome;
-  /** Milliseconds until it begins to run the call. */
+  /** Milliseconds until it starts to run the call. */
   readonly delay: number;
 }
 
@@ -39,22 +39,22 @@
   delay: fc.nat({ max: 600 }),
 });
 
-/** One send and the target that has it. */
+/** A target that received one send. */
 class Target {
-  readonly #play: ModelCallsPlay;
+  readonly #harness: ModelCallsPlay;
   readonly #index: number;
   readonly #plan: ITargetPlan;
   readonly #sentAt: number;
   #abortedAt = Number.POSITIVE_INFINITY;
   #events = 0;
-  #isOver = false;
+  #isFinished = false;
   hasRun = false;
 
-  constructor(play: ModelCallsPlay, index: number, plan: ITargetPlan) {
-    this.#play = play;
+  constructor(harness: ModelCallsPlay, index: number, plan: ITargetPlan) {
+    this.#harness = harness;
     this.#index = index;
     this.#plan = plan;
-    this.#sentAt = play.clock.now();
+    this.#sentAt = harness.clock.now();
   }
 
   get call(): string {
@@ -62,30 +62,30 @@
   }
 
   step(): void {
-    const now = this.#play.clock.now();
+    const now = this.#harness.clock.now();
     if (this.#send.isAborted) {
       this.#abortedAt = Math.min(this.#abortedAt, now);
     }
     const beginsAt = this.#sentAt + LATENCY + this.#plan.delay;
-    const isStill = this.#plan.outcome === Outcome.Still;
-    if (!isStill && now >= beginsAt && beginsAt < this.#abortedAt + LATENCY) {
+    const isStalled = this.#plan.outcome === Outcome.Stalled;
+    if (!isStalled && now >= beginsAt && beginsAt < this.#abortedAt + LATENCY) {
       this.hasRun = true;
       this.#answer(now - beginsAt - LATENCY);
     }
   }
 
   get #send(): ISend {
-    return this.#play.send(this.#index);
+    return this.#harness.send(this.#index);
   }
 
-  /** @param age - milliseconds since the first of the answer is here */
+  /** @param age - milliseconds since the start of the response arrived */
   #answer(age: number): void {
-    if (this.#isOver || this.#send.isAborted || age < 0) {
+    if (this.#isFinished || this.#send.isAborted || age < 0) {
       return;
     }
     const { receiver } = this.#send.options;
     if (this.#plan.outcome === Outcome.Failure) {
-      this.#isOver = true;
+      this.#isFinished = true;
       receiver.onHead({ ...HEAD, status: 500 });
       receiver.onEnd();
       return;
@@ -95,43 +95,47 @@
     }
     while (this.#events < LAST_EVENT && age >= this.#events * EVENT_GAP) {
       this.#events += 1;
-      this.#play.event(this.#index, this.#events);
+      this.#harness.event(this.#index, this.#events);
       if (this.#plan.outcome === Outcome.Reset && this.#events > 1) {
-        this.#isOver = true;
+        this.#isFinished = true;
         receiver.onFailure(SendFailure.Broken, "reset");
         return;
       }
     }
     if (this.#events === LAST_EVENT) {
-      this.#isOver = true;
+      this.#isFinished = true;
       receiver.onEnd();
     }
   }
 }
 
-describe("the attempts of model calls", () => {
+describe("attempts of model calls", () => {
   // Guards against calls that run on more targets than their route allows when
-  // they are taken from one silent or failing group to the next.
+  // they are retried at one silent or failing group after the other.
   it("are never exceeded by the targets that run a call", () => {
     fc.assert(
       fc.property(
         fc.array(PLAN, { minLength: 12, maxLength: 40 }),
         fc.integer({ min: 1, max: 6 }),
         (plans, calls) => {
-          const play = new ModelCallsPlay(GROUPS);
+          const harness = new ModelCallsPlay(GROUPS);
           for (let call = 0; call < calls; call += 1) {
-            play.take({ id: `attempt-${call}` });
+            harness.take({ id: `attempt-${call}` });
           }
           const targets: Target[] = [];
           for (let time = 0; time < PLAYED_TIME; time += STEP) {
-            for (let next = targets.length; next < play.sends.length; next++) {
+            for (
+              let next = targets.length;
+              next < harness.sends.length;
+              next++
+            ) {
               const plan = plans[next % plans.length];
               if (plan !== undefined) {
-                targets.push(new Target(play, next, plan));
+                targets.push(new Target(harness, next, plan));
               }
             }
             targets.forEach((target) => target.step());
-            play.clock.advance(STEP);
+            harness.clock.advance(STEP);
           }
           for (let call = 0; call < calls; call += 1) {
             const ran = targets.filter(
--- a/src/common/calls/model_call_recorder.ts
+++ b/src/common/calls/model_call_recorder.ts
@@ -1,9 +1,9 @@
-/** The log line and the measures of a model call that has ended. */
+/** Log line and metrics of model calls that have ended. */
 import type { ILog, IMetrics } from "../services/services.ts";
 import type { MonotonicTime } from "../types.ts";
 import type { ModelRun } from "./model_run.ts";
 
-/** The outcome of a call that was answered whole. */
+/** Outcome of a call whose response was complete. */
 export const WHOLE = "whole";
 
 /** How a call ended. */
@@ -14,7 +14,7 @@
   readonly now: MonotonicTime;
 }
 
-/** Writes one line a call, and counts it. */
+/** Writes one log line per call and counts it. */
 export class ModelCallRecorder {
   readonly #log: ILog;
   readonly #metrics: IMetrics;
@@ -67,7 +67,7 @@
   }
 }
 
-/** Whole milliseconds; null when it never came to it. */
+/** Whole milliseconds; null if the end was never reached. */
 function since(start: MonotonicTime, end: MonotonicTime | null): number | null {
   return end === null ? null : Math.round(end - start);
 }
--- a/src/common/calls/model_calls.ts
+++ b/src/common/calls/model_calls.ts
@@ -1,4 +1,4 @@
-/** Sends model calls to replica groups, and on to others where one fails. */
+/** Sends model calls to replica groups and retries failed ones elsewhere. */
 import type { IClock, ILog, IMetrics, IRandom } from "../services/services.ts";
 import type { MonotonicTime, ZoneName } from "../types.ts";
 import { gapDuringPrefill, longestGap } from "./engine_timing.ts";
@@ -18,26 +18,26 @@
 import { CallRefusalKind, CallRefusalReason } from "./types.ts";
 import type { ICall, ICallReply, ICallSender, IServiceEntry } from "./types.ts";
 
-/** How often silences and deadlines are looked at, milliseconds. */
+/** Interval of the checks for stalls and hopeless calls, milliseconds. */
 export const CHECK_PERIOD = 20;
 
-/** A silence after which no answer is expected any more, milliseconds. */
+/** Silence after which a call without a response is ended, milliseconds. */
 const HOPELESS_SILENCE = 2_000;
 
-/** Lost groups remembered: all that calls on their way can have been sent to. */
-const MOST_LOST_GROUPS = 500;
+/** Lost groups remembered: all groups that open calls can have been sent to. */
+const MAXIMUM_LOST_GROUPS = 500;
 
-/** What one process's calls ask of a model. */
+/** The demand of one process for a model. */
 export interface IModelDemand {
   readonly service: string;
   readonly model: string;
-  /** Groups that are wholly busy with the calls that arrive. */
+  /** Groups that the arriving calls fully occupy. */
   readonly groups: number;
-  /** Calls that wait for a group. */
+  /** Calls queued for a group. */
   readonly waiting: number;
 }
 
-/** What the model calls need. */
+/** Dependencies of {@link ModelCalls}. */
 export interface IModelCallParts {
   readonly groups: ServingGroups;
   readonly sender: ICallSender;
@@ -48,39 +48,39 @@
   readonly log: ILog;
   readonly metrics: IMetrics;
   readonly zone: ZoneName;
-  /** Processes that place calls, as far as is known. */
+  /** Number of processes known to place calls. */
   readonly processes: () => number;
-  /** Groups were found standing still. */
+  /** Called when groups become suspected of a stall. */
   readonly onGroupsSuspected: () => void;
 }
 
 /** All model calls of one process. */
 export class ModelCalls implements IModelRunOwner {
   readonly #parts: IModelCallParts;
-  readonly #lanes: ModelStates;
-  readonly #record: ModelCallRecorder;
-  readonly #stalls = new StallDetector();
-  readonly #reach: ZoneReachability;
-  readonly #sent = new Set<ModelRun>();
-  /** Groups given up of late; their names are not used again. */
-  readonly #lost = new Set<string>();
+  readonly #models: ModelStates;
+  readonly #recorder: ModelCallRecorder;
+  readonly #stallDetector = new StallDetector();
+  readonly #reachability: ZoneReachability;
+  readonly #openRuns = new Set<ModelRun>();
+  /** Groups recently reported as lost; their names are not used again. */
+  readonly #lostGroups = new Set<string>();
 
   constructor(parts: IModelCallParts) {
     this.#parts = parts;
-    this.#lanes = new ModelStates(parts.service);
-    this.#record = new ModelCallRecorder(parts.log, parts.metrics);
-    this.#reach = new ZoneReachability(parts.zone);
+    this.#models = new ModelStates(parts.service);
+    this.#recorder = new ModelCallRecorder(parts.log, parts.metrics);
+    this.#reachability = new ZoneReachability(parts.zone);
   }
 
-  /** Groups that this process found standing still. */
+  /** Groups that this process suspects of a stall. */
   get suspectedGroups(): readonly string[] {
-    return this.#stalls.suspectedGroups(this.#now);
+    return this.#stallDetector.suspectedGroups(this.#now);
   }
 
-  /** What this process's calls ask of each model. */
+  /** The demand of this process for each model. */
   get demand(): readonly IModelDemand[] {
     const now = this.#now;
-    return this.#lanes.all.map(({ service, model, demand, queue }) => ({
+    return this.#models.all.map(({ service, model, demand, queue }) => ({
       service,
       model,
       groups: demand.groupsNeeded(now),
@@ -88,46 +88,46 @@
     }));
   }
 
-  /** Returns what to do when the caller leaves. */
+  /** Accepts a call; returns the handler for its caller's disconnect. */
   submit(call: ICall, reply: ICallReply): () => void {
     const run = new ModelRun({ call, reply, work: queueItemOf(call) }, this);
     const { clock } = this.#parts;
-    const left = call.deadline - this.#now;
-    run.deadlineTimer = clock.after(left, () => this.#timedOut(run));
-    this.#lanes.recordArrival(call, this.#now);
-    this.#wait(run);
-    this.#place(this.#lanes.getOrCreate(call));
-    return () => this.#callerLeft(run);
+    const timeLeft = call.deadline - this.#now;
+    run.deadlineTimer = clock.after(timeLeft, () => this.#handleTimeout(run));
+    this.#models.recordArrival(call, this.#now);
+    this.#enqueue(run);
+    this.#placeWaiting(this.#models.getOrCreate(call));
+    return () => this.#handleDisconnect(run);
   }
 
   /**
-   * The belief about groups was renewed.
+   * Retries the calls of lost groups and places waiting calls on the new list.
    *
-   * @param lost - groups given up by the lease holder: nothing begins there
+   * @param lost - groups abandoned by the lease holder: no call starts there
    */
   handleGroupsChanged(lost: readonly string[]): void {
-    this.#noteLost(lost);
+    this.#rememberLost(lost);
     if (lost.length > 0) {
-      for (const run of [...this.#sent]) {
+      for (const run of [...this.#openRuns]) {
         if (lost.includes(run.currentSend?.group.group ?? "")) {
-          this.#moveOn(run, { isSilent: false });
+          this.#retryElsewhere(run, { isSilent: false });
         }
       }
     }
-    for (const lane of this.#lanes.all) {
-      this.#place(lane);
+    for (const state of this.#models.all) {
+      this.#placeWaiting(state);
     }
   }
 
-  /** Looks at silences and at what waits; called every {@link CHECK_PERIOD}. */
+  /** Handles stalls and places waiting calls, every {@link CHECK_PERIOD}. */
   check(): void {
     const now = this.#now;
-    const stalls = this.#stalls.check(now);
-    const silent = new Set(stalls.stalledStreams);
-    if (silent.size > 0) {
-      for (const run of [...this.#sent]) {
-        if (run.currentSend !== null && silent.has(run.currentSend.stream)) {
-          this.#moveOn(run, { isSilent: true });
+    const stalls = this.#stallDetector.check(now);
+    const stalled = new Set(stalls.stalledStreams);
+    if (stalled.size > 0) {
+      for (const run of [...this.#openRuns]) {
+        if (run.currentSend !== null && stalled.has(run.currentSend.stream)) {
+          this.#retryElsewhere(run, { isSilent: true });
         }
       }
     }
@@ -135,7 +135,7 @@
     for (const group of stalls.suspectedGroups) {
       const zone = all.find((one) => one.group === group)?.zone;
       if (zone !== undefined) {
-        this.#reach.recordUnreachable(zone, group, now);
+        this.#reachability.recordUnreachable(zone, group, now);
       }
       this.#parts.metrics.count("stalled_groups");
       this.#parts.log.warn("group_suspected", { group });
@@ -143,14 +143,14 @@
     if (stalls.suspectedGroups.length > 0) {
       this.#parts.onGroupsSuspected();
     }
-    for (const lane of this.#lanes.all) {
-      this.#place(lane);
-      this.#refuseHopeless(lane.queue);
+    for (const state of this.#models.all) {
+      this.#placeWaiting(state);
+      this.#refuseHopeless(state.queue);
     }
   }
 
   isLostGroup(group: string): boolean {
-    return this.#lost.has(group);
+    return this.#lostGroups.has(group);
   }
 
   onEvents(run: ModelRun): void {
@@ -164,28 +164,28 @@
       const { stream, sentAt, group } = currentSend;
       if (stream.lastEventAt === null) {
         const time = now - sentAt - stream.prefillTime;
-        this.#lanes.getOrCreate(run.call).firstEventTime.addSample(time);
+        this.#models.getOrCreate(run.call).firstEventTime.addSample(time);
         this.#parts.groups.recordPrefillEnd(group.group, stream.prefillTime);
       }
-      this.#reach.recordEvent(group.zone);
-      this.#stalls.recordEvent(stream, now);
+      this.#reachability.recordEvent(group.zone);
+      this.#stallDetector.recordEvent(stream, now);
     }
   }
 
   onSendEnded(run: ModelRun, end: SendOutcome, detail: string): void {
     const { group = "", zone = "" } = run.currentSend?.group ?? {};
-    this.#release(run);
+    this.#releaseSend(run);
     if (end === SendOutcome.Whole) {
-      const stride = this.#lanes.engineOf(run.call)?.engine.stride ?? 0;
+      const stride = this.#models.engineOf(run.call)?.engine.stride ?? 0;
       const written = run.eventCount * stride;
-      const { demand } = this.#lanes.getOrCreate(run.call);
+      const { demand } = this.#models.getOrCreate(run.call);
       demand.recordOutput(written, run.call.tokens.output);
       this.#finish(run, WHOLE, { group, detail });
       run.reply.end();
     } else {
-      this.#stalls.suspect(group, this.#now);
+      this.#stallDetector.suspect(group, this.#now);
       if (end === SendOutcome.NotDelivered) {
-        this.#reach.recordUnreachable(zone, group, this.#now);
+        this.#reachability.recordUnreachable(zone, group, this.#now);
       }
       this.#parts.log.info("send_failed", {
         request: run.call.id,
@@ -193,18 +193,18 @@
         end,
         detail,
       });
-      this.#goOn(run, end);
+      this.#retryOrEnd(run, end);
     }
-    this.#place(this.#lanes.getOrCreate(run.call));
+    this.#placeWaiting(this.#models.getOrCreate(run.call));
   }
 
-  #noteLost(lost: readonly string[]): void {
-    lost.forEach((group) => this.#lost.add(group));
-    for (const group of this.#lost) {
-      if (this.#lost.size <= MOST_LOST_GROUPS) {
+  #rememberLost(lost: readonly string[]): void {
+    lost.forEach((group) => this.#lostGroups.add(group));
+    for (const group of this.#lostGroups) {
+      if (this.#lostGroups.size <= MAXIMUM_LOST_GROUPS) {
         return;
       }
-      this.#lost.delete(group);
+      this.#lostGroups.delete(group);
     }
   }
 
@@ -212,16 +212,16 @@
     return this.#parts.clock.now();
   }
 
-  #wait(run: ModelRun): void {
-    const { queue } = this.#lanes.getOrCreate(run.call);
-    const pushedOut = queue.add(run);
-    if (pushedOut !== null) {
-      this.#refuse(pushedOut, CallRefusalReason.QueueFull, queue);
+  #enqueue(run: ModelRun): void {
+    const { queue } = this.#models.getOrCreate(run.call);
+    const evicted = queue.add(run);
+    if (evicted !== null) {
+      this.#refuse(evicted, CallRefusalReason.QueueFull, queue);
     }
   }
 
-  #place(lane: IModelState): void {
-    const { service, model, queue } = lane;
+  #placeWaiting(state: IModelState): void {
+    const { service, model, queue } = state;
     if (queue.size === 0) {
       return;
     }
@@ -230,16 +230,21 @@
     const options = {
       zone,
       processes: processes(),
-      prefillBudget: Math.max(0, lane.objective - lane.firstEventTime.estimate),
+      prefillBudget: Math.max(
+        0,
+        state.objective - state.firstEventTime.estimate,
+      ),
       chance: () => random.next(),
     };
     const usable = groups
       .ofModel(service, model)
-      .filter(({ group }) => !this.#stalls.isSuspected(group, now));
+      .filter(({ group }) => !this.#stallDetector.isSuspected(group, now));
     queue.setHasGroups(usable.length > 0, now);
     let open: ILoadedGroup[] = [...usable];
     while (queue.size > 0) {
-      const inReach = open.filter((one) => this.#reach.mayTry(one.zone, now));
+      const inReach = open.filter((one) =>
+        this.#reachability.mayTry(one.zone, now),
+      );
       const group = chooseGroup(inReach, options);
       if (group === null) {
         return;
@@ -248,33 +253,33 @@
       if (run === null) {
         return;
       }
-      if (!this.#mayRepeat(run)) {
+      if (!this.#reserveSend(run)) {
         continue;
       }
       this.#send(run, group);
-      open = open.map((one) => (one === group ? withOneMore(one, run) : one));
+      open = open.map((one) => (one === group ? withCall(one, run) : one));
     }
   }
 
   /**
-   * A second send is taken from the allowance; without it the call ends. What
-   * has reached no target yet, for want of a connection, repeats nothing.
+   * Takes a further send from the retry allowance; without one the call ends. A
+   * call that has reached no target yet, for lack of a connection, needs none.
    */
-  #mayRepeat(run: ModelRun): boolean {
+  #reserveSend(run: ModelRun): boolean {
     if (run.sendCount === 0) {
       this.#parts.retries.recordFirstSend(run.call.service, this.#now);
       return true;
     }
-    if (!run.mayHaveReachedTarget || this.#hasRepeat(run)) {
+    if (!run.mayHaveReachedTarget || this.#takeRetry(run)) {
       run.hasRetryGrant = false;
       return true;
     }
-    this.#giveUp(run, CallRefusalReason.TargetLost);
+    this.#abandon(run, CallRefusalReason.TargetLost);
     return false;
   }
 
-  /** Whether a repeat was taken from the allowance, now or before. */
-  #hasRepeat(run: ModelRun): boolean {
+  /** Takes a retry from the allowance unless the call already has one. */
+  #takeRetry(run: ModelRun): boolean {
     const { retries } = this.#parts;
     run.hasRetryGrant ||= retries.tryTake(run.call.service, this.#now);
     return run.hasRetryGrant;
@@ -283,23 +288,23 @@
   #send(run: ModelRun, group: ILoadedGroup): void {
     const now = this.#now;
     const { call } = run;
-    const engine = this.#lanes.engineOf(call);
-    const watched = {
+    const engine = this.#models.engineOf(call);
+    const stream = {
       group: group.group,
       model: modelKey(call),
       gapDuringPrefill: engine
         ? gapDuringPrefill(engine.engine, engine.model)
         : 0,
       longestGap: engine ? longestGap(engine.engine, engine.model) : 0,
-      prefillTime: this.#lanes.prefillTime(call),
+      prefillTime: this.#models.prefillTime(call),
       sentAt: now,
       lastEventAt: null,
     };
-    this.#sent.add(run);
-    this.#parts.groups.recordSend(group.group, watched.prefillTime);
-    this.#reach.recordSend(group.zone, now);
-    this.#stalls.recordSend(watched);
-    run.startSend({ group, stream: watched, sentAt: now }, () =>
+    this.#openRuns.add(run);
+    this.#parts.groups.recordSend(group.group, stream.prefillTime);
+    this.#reachability.recordSend(group.zone, now);
+    this.#stallDetector.recordSend(stream);
+    run.startSend({ group, stream, sentAt: now }, () =>
       this.#parts.sender.send(group.head, call, {
         timeLeft: call.deadline - now,
         lastEventId: run.lastEventId,
@@ -309,30 +314,33 @@
     );
   }
 
-  #release(run: ModelRun): void {
+  #releaseSend(run: ModelRun): void {
     const { currentSend } = run;
     if (currentSend === null) {
       return;
     }
     run.currentSend = null;
-    this.#sent.delete(run);
+    this.#openRuns.delete(run);
     const { stream, group } = currentSend;
     if (stream.lastEventAt === null) {
       this.#parts.groups.recordPrefillEnd(group.group, stream.prefillTime);
     }
     this.#parts.groups.recordEnd(group.group);
-    this.#stalls.removeStream(currentSend.stream);
+    this.#stallDetector.removeStream(currentSend.stream);
   }
 
   /**
-   * The present send is silent, or its group was given up: the call is sent
-   * elsewhere. One that may not be sent once more, or for which no repeat is
-   * left, is ended only when it is silent and its group is known to be lost, or
-   * nothing came of it for long: its caller can ask again at once, while a wait
-   * would be in vain. A group may only be slow, and then its answers are late
-   * but whole; a lost one may still send the last of them.
+   * Retries a call whose current send is silent or whose group is lost. A call
+   * that cannot be retried ends only if its send is silent and either the group
+   * is lost or there was no response for {@link HOPELESS_SILENCE}: its caller
+   * can ask again at once, while waiting would be in vain. Otherwise it stays,
+   * since a slow group answers late but completely, and a lost one may still
+   * deliver the rest.
    */
-  #moveOn(run: ModelRun, { isSilent }: { readonly isSilent: boolean }): void {
+  #retryElsewhere(
+    run: ModelRun,
+    { isSilent }: { readonly isSilent: boolean },
+  ): void {
     const silentFor = Math.round(
       this.#now -
         (run.currentSend?.stream.lastEventAt ?? run.currentSend?.sentAt ?? 0),
@@ -340,8 +348,8 @@
     const isLost = this.isLostGroup(run.currentSend?.group.group ?? "");
     const isUnanswered = !run.reply.isStarted && silentFor > HOPELESS_SILENCE;
     const isHopeless = isSilent && (isLost || isUnanswered);
-    const mayGoOn = run.canRetryAfterAbort && this.#hasRepeat(run);
-    if (!mayGoOn && !isHopeless) {
+    const canRetry = run.canRetryAfterAbort && this.#takeRetry(run);
+    if (!canRetry && !isHopeless) {
       return;
     }
     this.#parts.log.info("send_silent", {
@@ -352,11 +360,11 @@
       last_event: run.lastEventId,
     });
     run.abort();
-    this.#release(run);
-    this.#goOn(run, SendOutcome.Broken);
+    this.#releaseSend(run);
+    this.#retryOrEnd(run, SendOutcome.Broken);
   }
 
-  #goOn(run: ModelRun, end: SendOutcome): void {
+  #retryOrEnd(run: ModelRun, end: SendOutcome): void {
     if (run.isFinished) {
       return;
     }
@@ -364,12 +372,12 @@
       if (run.reply.isStarted) {
         run.queueItem = startedQueueItemOf(run.call);
       }
-      this.#wait(run);
+      this.#enqueue(run);
       return;
     }
     const isRefused =
       end === SendOutcome.NotRun || end === SendOutcome.NotDelivered;
-    this.#giveUp(
+    this.#abandon(
       run,
       isRefused
         ? CallRefusalReason.TargetRefused
@@ -379,7 +387,7 @@
 
   #refuseHopeless(queue: ModelQueue): void {
     const hopeless = queue.removeHopeless(this.#now, (run) =>
-      this.#lanes.shortestRun(run.call),
+      this.#models.shortestRun(run.call),
     );
     for (const run of hopeless) {
       this.#refuse(run, CallRefusalReason.Hopeless, queue);
@@ -391,8 +399,8 @@
     this.#end(run, reason, queue.retryAfter(this.#now, chance));
   }
 
-  #giveUp(run: ModelRun, reason: CallRefusalReason): void {
-    const { queue } = this.#lanes.getOrCreate(run.call);
+  #abandon(run: ModelRun, reason: CallRefusalReason): void {
+    const { queue } = this.#models.getOrCreate(run.call);
     const chance = this.#parts.random.next();
     this.#end(run, reason, queue.retryAfter(this.#now, chance));
   }
@@ -401,39 +409,39 @@
     if (run.isFinished) {
       return;
     }
-    const end = endOf(run, reason);
-    this.#finish(run, end, { reason, retry_after: Math.round(retryAfter) });
+    const kind = refusalKindOf(run, reason);
+    this.#finish(run, kind, { reason, retry_after: Math.round(retryAfter) });
     if (run.reply.isStarted) {
       run.reply.reset();
     } else {
-      run.reply.refuse({ kind: end, reason, retryAfter });
+      run.reply.refuse({ kind, reason, retryAfter });
     }
   }
 
-  #timedOut(run: ModelRun): void {
+  #handleTimeout(run: ModelRun): void {
     if (run.isFinished) {
       return;
     }
     if (run.currentSend !== null) {
       run.abort();
-      this.#release(run);
+      this.#releaseSend(run);
     }
-    this.#lanes.getOrCreate(run.call).queue.remove(run);
+    this.#models.getOrCreate(run.call).queue.remove(run);
     this.#end(run, CallRefusalReason.DeadlinePassed, 0);
-    this.#place(this.#lanes.getOrCreate(run.call));
+    this.#placeWaiting(this.#models.getOrCreate(run.call));
   }
 
-  #callerLeft(run: ModelRun): void {
+  #handleDisconnect(run: ModelRun): void {
     if (run.isFinished) {
       return;
     }
     if (run.currentSend !== null) {
       run.abort();
-      this.#release(run);
+      this.#releaseSend(run);
     }
-    this.#lanes.getOrCreate(run.call).queue.remove(run);
+    this.#models.getOrCreate(run.call).queue.remove(run);
     this.#finish(run, "caller_left", {});
-    this.#place(this.#lanes.getOrCreate(run.call));
+    this.#placeWaiting(this.#models.getOrCreate(run.call));
   }
 
   #finish(
@@ -443,12 +451,12 @@
   ): void {
     run.isFinished = true;
     run.deadlineTimer?.dispose();
-    this.#record.recordEnd(run, { outcome, fields, now: this.#now });
+    this.#recorder.recordEnd(run, { outcome, fields, now: this.#now });
   }
 }
 
-/** A group with a call that was just sent to it. */
-function withOneMore(group: ILoadedGroup, run: ModelRun): ILoadedGroup {
+/** The load of a group with one more call sent to it. */
+function withCall(group: ILoadedGroup, run: ModelRun): ILoadedGroup {
   const readTime = run.currentSend?.stream.prefillTime ?? 0;
   return {
     ...group,
@@ -457,8 +465,11 @@
   };
 }
 
-/** Only what no target can have begun is told to have not run. */
-function endOf(run: ModelRun, reason: CallRefusalReason): CallRefusalKind {
+/** Reports a call as not run only if no target can have started it. */
+function refusalKindOf(
+  run: ModelRun,
+  reason: CallRefusalReason,
+): CallRefusalKind {
   if (!run.mayHaveRun) {
     return CallRefusalKind.NotRun;
   }
--- a/src/common/calls/model_calls_test.ts
+++ b/src/common/calls/model_calls_test.ts
@@ -4,48 +4,48 @@
 import {
   group,
   HEAD,
-  ModelCallsPlay as Play,
+  ModelCallsPlay as Harness,
 } from "../../../test/support/model_calls_play.ts";
 import { CallRefusalKind, CallRefusalReason, SendFailure } from "./types.ts";
 
-/** A stream with one event, whose group is then given up; returns its reply. */
-function beginAndLoseGroup(play: Play): KeptReply {
-  const { reply } = play.take();
-  const group = play.send(0).target.replace("head-", "");
-  play.send(0).options.receiver.onHead(HEAD);
-  play.event(0, 1);
-  play.calls.handleGroupsChanged([group]);
+/** Starts a stream, loses its group after one event, and returns the reply. */
+function startAndLoseGroup(harness: Harness): KeptReply {
+  const { reply } = harness.take();
+  const group = harness.send(0).target.replace("head-", "");
+  harness.send(0).options.receiver.onHead(HEAD);
+  harness.event(0, 1);
+  harness.calls.handleGroupsChanged([group]);
   return reply;
 }
 
 describe("model calls", () => {
-  it("passes events on as they come, and the end", () => {
-    const play = new Play(["a"]);
-    const { reply } = play.take();
-    play.send(0).options.receiver.onHead(HEAD);
-    play.event(0, 1);
+  it("passes on events as they arrive, and the end", () => {
+    const harness = new Harness(["a"]);
+    const { reply } = harness.take();
+    harness.send(0).options.receiver.onHead(HEAD);
+    harness.event(0, 1);
     expect(reply.text).to.equal("id: 1\ndata: x\n\n");
-    play.send(0).options.receiver.onEnd();
+    harness.send(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
-  // The group loses a member in the middle of an answer. The caller should
-  // read on without a gap, and without the same words twice.
-  it("goes on elsewhere after the caller's last event", () => {
-    const play = new Play(["a", "b"]);
-    const { reply } = play.take();
-    const first = play.send(0);
+  // Guards against gaps and duplicate text when a group loses a member in the
+  // middle of a response.
+  it("resumes elsewhere after the caller's last event", () => {
+    const harness = new Harness(["a", "b"]);
+    const { reply } = harness.take();
+    const first = harness.send(0);
     first.options.receiver.onHead(HEAD);
-    play.event(0, 1);
-    play.event(0, 2);
-    play.clock.advance(1_000);
+    harness.event(0, 1);
+    harness.event(0, 2);
+    harness.clock.advance(1_000);
     expect(first.isAborted).to.equal(true);
-    const second = play.send(1);
+    const second = harness.send(1);
     expect(second.target).to.not.equal(first.target);
     expect(second.options.lastEventId).to.equal("2");
     second.options.receiver.onHead(HEAD);
-    play.event(1, 2);
-    play.event(1, 3);
+    harness.event(1, 2);
+    harness.event(1, 3);
     second.options.receiver.onEnd();
     expect(reply.text.match(/id: \d/g)).to.deep.equal([
       "id: 1",
@@ -55,206 +55,209 @@
     expect(reply.isEnded).to.equal(true);
   });
 
-  it("leaves a group that the lease holder gives up at once", () => {
-    const play = new Play(["a", "b"]);
-    play.take();
-    const lost = play.send(0).target.replace("head-", "");
-    play.groups.replace(["a", "b"].filter((one) => one !== lost).map(group));
-    play.calls.handleGroupsChanged([lost]);
-    expect(play.send(0).isAborted).to.equal(true);
-    expect(play.sends).to.have.length(2);
+  it("retries at once when the lease holder abandons a group", () => {
+    const harness = new Harness(["a", "b"]);
+    harness.take();
+    const lost = harness.send(0).target.replace("head-", "");
+    harness.groups.replace(["a", "b"].filter((one) => one !== lost).map(group));
+    harness.calls.handleGroupsChanged([lost]);
+    expect(harness.send(0).isAborted).to.equal(true);
+    expect(harness.sends).to.have.length(2);
   });
 
-  // A stream that may not be resumed has begun and breaks. Ending it like a
-  // whole one would give the caller half an answer that looks complete.
-  it("resets the caller's connection when it cannot go on", () => {
-    const play = new Play(["a", "b"]);
-    const { reply } = play.take({ route: routeOf({ isResumable: false }) });
-    play.send(0).options.receiver.onHead(HEAD);
-    play.event(0, 1);
-    play.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
+  // Guards against half a response that looks complete: a started stream that
+  // must not be resumed breaks, and is ended like a complete one.
+  it("resets the caller's connection when a stream cannot be resumed", () => {
+    const harness = new Harness(["a", "b"]);
+    const { reply } = harness.take({ route: routeOf({ isResumable: false }) });
+    harness.send(0).options.receiver.onHead(HEAD);
+    harness.event(0, 1);
+    harness.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(reply.isBroken).to.equal(true);
     expect(reply.isEnded).to.equal(false);
-    expect(play.sends).to.have.length(1);
+    expect(harness.sends).to.have.length(1);
   });
 
-  it("says not run only where no target can have begun", () => {
-    const play = new Play(["a"]);
+  it("reports not run only if no target can have started", () => {
+    const harness = new Harness(["a"]);
     const route = routeOf({ isResumable: false });
-    const refused = play.take({ route });
-    const { receiver } = play.send(0).options;
+    const refused = harness.take({ route });
+    const { receiver } = harness.send(0).options;
     receiver.onHead({ ...HEAD, status: 503, isNotRun: true });
     receiver.onEnd();
-    play.clock.advance(9_000);
+    harness.clock.advance(9_000);
     expect(refused.reply.refusal?.kind).to.equal(CallRefusalKind.NotRun);
-    const broken = play.take({ route });
-    play
-      .send(play.sends.length - 1)
+    const broken = harness.take({ route });
+    harness
+      .send(harness.sends.length - 1)
       .options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(broken.reply.refusal?.kind).to.equal(CallRefusalKind.TargetFailed);
   });
 
-  // All groups of a model are down. A call held until its deadline keeps its
-  // caller from asking again when they are back.
+  // Guards against calls held until their deadline while all groups of a model
+  // are down, which keeps callers from retrying once the groups are back.
   it("refuses soon while a model has no group", () => {
-    const play = new Play([]);
-    const { reply } = play.take();
-    play.clock.advance(1_500);
+    const harness = new Harness([]);
+    const { reply } = harness.take();
+    harness.clock.advance(1_500);
     expect(reply.refusal?.kind).to.equal(CallRefusalKind.NotRun);
     expect(reply.refusal?.reason).to.equal(CallRefusalReason.Hopeless);
     expect(reply.refusal?.retryAfter).to.be.greaterThan(0);
   });
 
-  it("gives up its send when the caller leaves", () => {
-    const play = new Play(["a"]);
-    const { leave } = play.take();
+  it("aborts its send when the caller disconnects", () => {
+    const harness = new Harness(["a"]);
+    const { leave } = harness.take();
     leave();
-    expect(play.send(0).isAborted).to.equal(true);
-    expect(play.groups.ownInFlight.size).to.equal(0);
+    expect(harness.send(0).isAborted).to.equal(true);
+    expect(harness.groups.ownInFlight.size).to.equal(0);
   });
 
   it("answers at the deadline whatever the target does", () => {
-    const play = new Play(["a"]);
+    const harness = new Harness(["a"]);
     const route = routeOf({ isResumable: false });
-    const { reply } = play.take({ deadline: 800, route });
-    play.clock.advance(801);
+    const { reply } = harness.take({ deadline: 800, route });
+    harness.clock.advance(801);
     expect(reply.refusal?.kind).to.equal(CallRefusalKind.TimedOut);
   });
 
-  // A burst: more calls than places. The rest waits here, in order, and goes
-  // to whichever group has a place first.
-  it("sends no more than a group has slots, and the rest as places come", () => {
-    const play = new Play(["a"]);
-    const calls = [1, 2, 3].map((id) => play.take({ id: `attempt-${id}` }));
-    expect(play.sends).to.have.length(2);
+  // Guards against overfilled groups in a burst: the calls beyond the slots
+  // wait here, in order, for the first group with a free slot.
+  it("sends no more calls than slots, and the rest as slots free up", () => {
+    const harness = new Harness(["a"]);
+    const calls = [1, 2, 3].map((id) => harness.take({ id: `attempt-${id}` }));
+    expect(harness.sends).to.have.length(2);
     calls[0]?.leave();
-    expect(play.sends).to.have.length(3);
+    expect(harness.sends).to.have.length(3);
   });
 
-  // An outage makes every call fail at once. Past the allowance a call ends,
-  // so that repeats do not outgrow what is left to serve them.
-  it("does not send once more without an allowance", () => {
-    const play = new Play(["a", "b"], 0);
-    const { reply } = play.take();
-    play.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
-    expect(play.sends).to.have.length(1);
+  // Guards against retries that exceed the remaining capacity when an outage
+  // fails every call at once: beyond the allowance a call ends.
+  it("does not retry without an allowance", () => {
+    const harness = new Harness(["a", "b"], 0);
+    const { reply } = harness.take();
+    harness.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
+    expect(harness.sends).to.have.length(1);
     expect(reply.refusal?.reason).to.equal(CallRefusalReason.TargetLost);
   });
 
-  // Engines turn slow for some seconds, and there are not repeats enough to
-  // take all their streams elsewhere. A stream that is broken off for want of
-  // one ends in an error, where its caller would have got it whole but late.
-  it("leaves a slow stream where it is without an allowance", () => {
-    const play = new Play(["a", "b"], 0);
-    const { reply } = play.take();
-    play.send(0).options.receiver.onHead(HEAD);
-    play.event(0, 1);
-    play.clock.advance(900);
-    expect(play.send(0).isAborted).to.equal(false);
-    play.event(0, 2);
-    play.send(0).options.receiver.onEnd();
+  // Guards against streams that end in an error for lack of retries when
+  // engines are slow for some seconds: left alone, they arrive complete but
+  // late.
+  it("keeps a slow stream in place without an allowance", () => {
+    const harness = new Harness(["a", "b"], 0);
+    const { reply } = harness.take();
+    harness.send(0).options.receiver.onHead(HEAD);
+    harness.event(0, 1);
+    harness.clock.advance(900);
+    expect(harness.send(0).isAborted).to.equal(false);
+    harness.event(0, 2);
+    harness.send(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
-  // Guards against half-read answers cut for a group's loss while its head still
-  // answers.
-  it("lets a stream that moves end in a lost group when it cannot go on", () => {
-    const play = new Play(["a", "b"], 0);
-    const reply = beginAndLoseGroup(play);
+  // Guards against partly read responses cut off for a group's loss while its
+  // head still responds.
+  it("lets an active stream of a lost group end if it cannot be retried", () => {
+    const harness = new Harness(["a", "b"], 0);
+    const reply = startAndLoseGroup(harness);
     for (let id = 2; id <= 5; id += 1) {
-      play.clock.advance(40);
-      play.event(0, id);
+      harness.clock.advance(40);
+      harness.event(0, id);
     }
     expect(reply.isBroken).to.equal(false);
-    play.send(0).options.receiver.onEnd();
+    harness.send(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
-  // Guards against callers held until the bound on silences although nothing
+  // Guards against callers held until the limit on silence although nothing
   // more can come from their group.
-  it("ends a silent stream of a lost group soon when it cannot go on", () => {
-    const play = new Play(["a", "b"], 0);
-    const reply = beginAndLoseGroup(play);
-    play.clock.advance(1_000);
+  it("ends a silent stream of a lost group soon if it cannot be retried", () => {
+    const harness = new Harness(["a", "b"], 0);
+    const reply = startAndLoseGroup(harness);
+    harness.clock.advance(1_000);
     expect(reply.isBroken).to.equal(true);
   });
 
-  // The links to another zone are cut: connections do not come about, and the
-  // call has reached nobody. Counted as repeats, some dozen of them would use
-  // up the allowance that broken streams need.
-  it("takes no repeat for a call that has reached no target", () => {
-    const play = new Play(["a", "b"], 0);
-    play.take();
-    play
+  // Guards against an allowance used up by calls that reached no target: the
+  // links to another zone are cut and connections fail. Counted as retries,
+  // some dozen of them would use up what broken streams need.
+  it("takes no retry for a call that has reached no target", () => {
+    const harness = new Harness(["a", "b"], 0);
+    harness.take();
+    harness
       .send(0)
       .options.receiver.onFailure(SendFailure.NotSent, "no connection");
-    expect(play.sends).to.have.length(2);
+    expect(harness.sends).to.have.length(2);
   });
 
-  // A burst is over, but its queue is not. In order of arrival each new call
-  // waits behind it and is late as well, for as long as the queue stands.
+  // Guards against new calls that are late behind the queue of a past burst, as
+  // they would be in order of arrival for as long as the queue lasts.
   it("starts calls that can be on time before those that cannot", () => {
-    const play = new Play(["a"]);
-    const first = play.take({ id: "first" });
-    play.take({ id: "second" });
-    [0, 1].forEach((index) => play.send(index).options.receiver.onHead(HEAD));
-    const late = [1, 2].map((id) => play.take({ id: `late-${id}` }));
+    const harness = new Harness(["a"]);
+    const first = harness.take({ id: "first" });
+    harness.take({ id: "second" });
+    [0, 1].forEach((index) =>
+      harness.send(index).options.receiver.onHead(HEAD),
+    );
+    const late = [1, 2].map((id) => harness.take({ id: `late-${id}` }));
     for (let id = 1; id <= 5; id += 1) {
-      play.clock.advance(90);
-      play.event(0, id);
-      play.event(1, id);
+      harness.clock.advance(90);
+      harness.event(0, id);
+      harness.event(1, id);
     }
-    const prompt = play.take({ id: "prompt" });
+    const prompt = harness.take({ id: "prompt" });
     first.leave();
-    expect(play.sends).to.have.length(3);
+    expect(harness.sends).to.have.length(3);
     const [waiting] = late;
     expect(waiting?.reply.refusal).to.equal(null);
-    play.send(2).options.receiver.onHead(HEAD);
-    play.event(2, 1);
+    harness.send(2).options.receiver.onHead(HEAD);
+    harness.event(2, 1);
     expect(prompt.reply.isStarted).to.equal(true);
   });
 
-  // Groups that are only slow say nothing for a while, and a call is taken from
-  // one to the next. Each may have begun to run it all the same: past the
-  // route's attempts its caller pays for work that nobody reads.
-  it("counts a group left silent as one that may have run the call", () => {
-    const play = new Play(["a", "b", "c"]);
-    play.take();
-    play.clock.advance(1_900);
-    expect(play.sends).to.have.length(2);
-    play.groups.replace(["b", "c"].map(group));
-    const first = play.send(0).target.replace("head-", "");
-    play.calls.handleGroupsChanged([first]);
-    play.clock.advance(1_900);
-    expect(play.sends).to.have.length(3);
+  // Guards against calls that run more often than their route allows: slow
+  // groups are silent for a while, and a call is retried at one after the
+  // other. Each may have started to run it, and its caller pays for work that
+  // nobody reads.
+  it("counts an abandoned silent group as having run the call", () => {
+    const harness = new Harness(["a", "b", "c"]);
+    harness.take();
+    harness.clock.advance(1_900);
+    expect(harness.sends).to.have.length(2);
+    harness.groups.replace(["b", "c"].map(group));
+    const first = harness.send(0).target.replace("head-", "");
+    harness.calls.handleGroupsChanged([first]);
+    harness.clock.advance(1_900);
+    expect(harness.sends).to.have.length(3);
   });
 
   // Guards against a call that runs on more targets than its route allows
-  // because each that it was resumed at answered with a failure.
-  it("counts a failure on resuming as an attempt", () => {
-    const play = new Play(["a", "b", "c"]);
-    const { reply } = play.take();
-    play.send(0).options.receiver.onHead(HEAD);
-    play.event(0, 1);
-    play.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
-    const { receiver } = play.send(1).options;
+  // because each target that should resume it responded with a failure.
+  it("counts a failed resumption as an attempt", () => {
+    const harness = new Harness(["a", "b", "c"]);
+    const { reply } = harness.take();
+    harness.send(0).options.receiver.onHead(HEAD);
+    harness.event(0, 1);
+    harness.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
+    const { receiver } = harness.send(1).options;
     receiver.onHead({ ...HEAD, status: 500 });
     receiver.onEnd();
-    expect(play.sends).to.have.length(2);
+    expect(harness.sends).to.have.length(2);
     expect(reply.isBroken).to.equal(true);
   });
 
-  // Guards against a half-read answer cut although its target, silent for some
-  // seconds, goes on with it.
-  it("waits for a silent target when the answer cannot go on elsewhere", () => {
-    const play = new Play(["a", "b"], 0);
-    const { reply } = play.take();
-    play.send(0).options.receiver.onHead(HEAD);
-    play.event(0, 1);
-    play.clock.advance(3_000);
-    expect(play.send(0).isAborted).to.equal(false);
-    play.event(0, 2);
-    play.send(0).options.receiver.onEnd();
+  // Guards against a partly read response cut off although its target continues
+  // it after some seconds of silence.
+  it("waits for a silent target if the response cannot be resumed elsewhere", () => {
+    const harness = new Harness(["a", "b"], 0);
+    const { reply } = harness.take();
+    harness.send(0).options.receiver.onHead(HEAD);
+    harness.event(0, 1);
+    harness.clock.advance(3_000);
+    expect(harness.send(0).isAborted).to.equal(false);
+    harness.event(0, 2);
+    harness.send(0).options.receiver.onEnd();
     expect(reply.text).to.contain("id: 2");
     expect(reply.isEnded).to.equal(true);
   });
--- a/src/common/calls/model_queue.ts
+++ b/src/common/calls/model_queue.ts
@@ -1,10 +1,10 @@
 /**
- * Calls of one model that wait for a group. Pattern of load: a group is lost
- * or a burst comes, and for some seconds there are more calls than places.
- * Waiting in a target's queue they would be tied to a group that may be lost
- * next; here each goes to whichever group has room first. Order and fairness
- * are those of {@link FairQueue}; streams that have begun go before all, and
- * calls that can still be on time before {@link OverdueCalls}.
+ * Calls of one model that wait for a group. After a burst or the loss of a
+ * group, there are more calls than slots for some seconds. Queued at a target,
+ * they would be bound to a group that may be lost next; here each goes to the
+ * first group with a free slot. Order and fairness are those of
+ * {@link FairQueue}. Started streams come first, and calls that can still be on
+ * time come before {@link OverdueCalls}.
  */
 import { FairQueue } from "../decisions/fair_queue.ts";
 import type { IWorkItem } from "../decisions/work_item.ts";
@@ -14,26 +14,26 @@
 import { OverdueCalls } from "./overdue_calls.ts";
 import type { ICall } from "./types.ts";
 
-/** The decisions' priorities rise with urgency; the platform's fall. */
+/** {@link FairQueue} priorities rise with urgency, call priorities fall. */
 const LEAST_URGENT = 9;
 
-/** Each priority has a rank for calls that can be on time, one for others. */
-const RANKS = 2;
+/** Ranks per priority: one for calls that can be on time, one for others. */
+const RANKS_PER_PRIORITY = 2;
 
-/** Before all that have not begun: the caller is in the middle of an answer. */
-const BEGUN_PRIORITY = (LEAST_URGENT + 1) * RANKS;
+/** Above all other calls: the caller is in the middle of a response. */
+const STARTED_PRIORITY = (LEAST_URGENT + 1) * RANKS_PER_PRIORITY;
 
-/** How long a call waits while its model has no group at all, milliseconds. */
-const GROUPLESS_PATIENCE = 1_000;
+/** Longest wait while the model has no group at all, milliseconds. */
+const GROUPLESS_TIMEOUT = 1_000;
 
 const ALL_ROOM = { forShort: true, forLong: true };
 
-/** Calls and how fast they leave. */
+/** Waiting calls, and the rate at which they are started. */
 export class ModelQueue {
   readonly #queue = new FairQueue();
   readonly #runs = new Map<IWorkItem, ModelRun>();
-  readonly #rate = new DrainRate();
-  /** Works of calls that cannot be on time any more. */
+  readonly #drainRate = new DrainRate();
+  /** By queue item, the calls that can no longer be on time. */
   readonly #overdue = new Map<IWorkItem, ModelRun>();
   readonly #overdueCalls = new OverdueCalls();
   readonly #firstEventTime: (call: ICall) => number;
@@ -48,24 +48,24 @@
     return this.#queue.size;
   }
 
-  /** Adds a run; returns one that had to leave for it, or null. */
+  /** Adds a run; returns the run that was evicted for it, or null. */
   add(run: ModelRun): ModelRun | null {
     this.#runs.set(run.queueItem, run);
-    const pushedOut = this.#queue.add(run.queueItem);
-    return pushedOut === null ? null : this.#forget(pushedOut);
+    const evicted = this.#queue.add(run.queueItem);
+    return evicted === null ? null : this.#forget(evicted);
   }
 
   takeNext(now: MonotonicTime): ModelRun | null {
-    this.#putBackOverdue(now);
-    const work = this.#queue.take(ALL_ROOM);
-    if (work === null) {
+    this.#demoteOverdue(now);
+    const item = this.#queue.take(ALL_ROOM);
+    if (item === null) {
       return null;
     }
-    if (this.#overdue.has(work)) {
+    if (this.#overdue.has(item)) {
       this.#overdueCalls.recordStart(now);
     }
-    this.#rate.recordStart(now);
-    return this.#forget(work);
+    this.#drainRate.recordStart(now);
+    return this.#forget(item);
   }
 
   remove(run: ModelRun): void {
@@ -75,68 +75,70 @@
   }
 
   /**
-   * Removes and returns the runs that cannot be answered in time any more.
+   * Removes and returns the runs that can no longer be answered in time.
    *
-   * @param shortestRun - milliseconds that a run needs at least
+   * @param shortestRun - shortest time that a run takes, milliseconds
    */
   removeHopeless(
     now: MonotonicTime,
     shortestRun: (run: ModelRun) => number,
   ): readonly ModelRun[] {
-    this.#putBackOverdue(now);
-    const lost = new Set(this.#hopelessOverdue(now));
-    const patience = this.#grouplessFor(now) > GROUPLESS_PATIENCE;
-    const hopeless = this.#queue.removeWhere((work) => {
-      const run = this.#runs.get(work);
+    this.#demoteOverdue(now);
+    const hopelessOverdue = new Set(this.#findHopelessOverdue(now));
+    const hasTimedOut = this.#grouplessFor(now) > GROUPLESS_TIMEOUT;
+    const hopeless = this.#queue.removeWhere((item) => {
+      const run = this.#runs.get(item);
       if (run === undefined) {
         return true;
       }
-      const isLate = now + shortestRun(run) > work.deadline;
-      const hasWaited = now - work.arrivedAt > GROUPLESS_PATIENCE;
-      const isGroupless = patience && hasWaited && !run.reply.isStarted;
-      return isLate || isGroupless || lost.has(run);
+      const isLate = now + shortestRun(run) > item.deadline;
+      const hasWaited = now - item.arrivedAt > GROUPLESS_TIMEOUT;
+      const isGroupless = hasTimedOut && hasWaited && !run.reply.isStarted;
+      return isLate || isGroupless || hopelessOverdue.has(run);
     });
     return hopeless
-      .map((work) => this.#forget(work))
+      .map((item) => this.#forget(item))
       .filter((run) => run !== null);
   }
 
-  /** Told on each look for a group whether the model has any. */
+  /** Called at each placement with whether the model has a usable group. */
   setHasGroups(has: boolean, now: MonotonicTime): void {
     this.#grouplessSince = has ? null : (this.#grouplessSince ?? now);
   }
 
   /** Milliseconds until a call that arrives now would be started. */
   expectedWait(now: MonotonicTime): number {
-    return this.#queue.size === 0 ? 0 : this.#rate.timeToDrain(this.size, now);
+    return this.#queue.size === 0
+      ? 0
+      : this.#drainRate.timeToDrain(this.size, now);
   }
 
   retryAfter(now: MonotonicTime, chance: number): number {
-    return this.#rate.retryAfter(this.size + 1, now, chance);
+    return this.#drainRate.retryAfter(this.size + 1, now, chance);
   }
 
-  /** Calls that cannot be on time any more go behind those that can. */
-  #putBackOverdue(now: MonotonicTime): void {
+  /** Moves calls that can no longer be on time behind those that can. */
+  #demoteOverdue(now: MonotonicTime): void {
     const isOverdue = (run: ModelRun | undefined) =>
       run !== undefined &&
       !run.reply.isStarted &&
       !this.#overdue.has(run.queueItem) &&
       now + this.#firstEventTime(run.call) >
         run.call.arrivedAt + run.call.route.objective;
-    const found = this.#queue.removeWhere((work) =>
-      isOverdue(this.#runs.get(work)),
+    const found = this.#queue.removeWhere((item) =>
+      isOverdue(this.#runs.get(item)),
     );
-    for (const work of found) {
-      const run = this.#forget(work);
+    for (const item of found) {
+      const run = this.#forget(item);
       if (run !== null) {
-        run.queueItem = workOfOverdue(run.call);
+        run.queueItem = overdueQueueItemOf(run.call);
         this.#overdue.set(run.queueItem, run);
         this.add(run);
       }
     }
   }
 
-  #hopelessOverdue(now: MonotonicTime): readonly ModelRun[] {
+  #findHopelessOverdue(now: MonotonicTime): readonly ModelRun[] {
     const waiting = [...this.#overdue.values()].map((run) => ({
       run,
       arrivedAt: run.call.arrivedAt,
@@ -151,20 +153,20 @@
     return this.#grouplessSince === null ? 0 : now - this.#grouplessSince;
   }
 
-  #forget(work: IWorkItem): ModelRun | null {
-    const run = this.#runs.get(work) ?? null;
-    this.#runs.delete(work);
-    this.#overdue.delete(work);
+  #forget(item: IWorkItem): ModelRun | null {
+    const run = this.#runs.get(item) ?? null;
+    this.#runs.delete(item);
+    this.#overdue.delete(item);
     return run;
   }
 }
 
-/** A call as the queue's decisions see it. */
+/** The queue item of a waiting call. */
 export function queueItemOf(call: ICall): IWorkItem {
   return {
     id: call.id,
     account: call.account ?? "",
-    priority: urgencyOf(call) * RANKS + 1,
+    priority: urgencyOf(call) * RANKS_PER_PRIORITY + 1,
     promptTokens: call.tokens.prompt,
     askedTokens: call.tokens.output,
     isCall: false,
@@ -174,12 +176,12 @@
   };
 }
 
-/** The same call once it cannot be on time any more. */
-function workOfOverdue(call: ICall): IWorkItem {
+/** The queue item of a call that can no longer be on time. */
+function overdueQueueItemOf(call: ICall): IWorkItem {
   return {
     ...queueItemOf(call),
     account: `${call.account ?? ""}/overdue`,
-    priority: urgencyOf(call) * RANKS,
+    priority: urgencyOf(call) * RANKS_PER_PRIORITY,
   };
 }
 
@@ -187,11 +189,11 @@
   return LEAST_URGENT - Math.min(LEAST_URGENT, call.priority);
 }
 
-/** The same call once its caller has part of the answer. */
+/** The queue item of a call whose caller has part of the response. */
 export function startedQueueItemOf(call: ICall): IWorkItem {
   return {
     ...queueItemOf(call),
     account: `${call.account ?? ""}/begun`,
-    priority: BEGUN_PRIORITY,
+    priority: STARTED_PRIORITY,
   };
 }
--- a/src/common/calls/model_run.ts
+++ b/src/common/calls/model_run.ts
@@ -1,12 +1,12 @@
 /**
- * One model call from its arrival to its answer: its sends, what the caller
- * has of the answer, and whether it may be sent once more.
+ * One model call from its arrival to its response: its sends, what the caller
+ * has received, and whether it may be sent again.
  */
 import type { IWorkItem } from "../decisions/work_item.ts";
 import type { IDisposable } from "../disposable.ts";
 import type { MonotonicTime } from "../types.ts";
 import { EventSplitter } from "./event_splitter.ts";
-import type { IWholeEvent } from "./event_splitter.ts";
+import type { ICompleteEvent } from "./event_splitter.ts";
 import type { IServingGroup } from "./serving_groups.ts";
 import type { IWatchedStream } from "./silence_limits.ts";
 import { CallKind, SendFailure } from "./types.ts";
@@ -21,53 +21,53 @@
 const STATUS_OK = 200;
 const STATUS_REDIRECT = 300;
 
-/** Sends beyond those that ran; each found its group standing still. */
+/** Sends allowed beyond the route's attempts, for groups that stalled. */
 const EXTRA_SENDS = 3;
 
-/** Sends that may reach no target at all before a call is given up. */
-const MOST_MISSED_SENDS = 5;
+/** Sends that may fail to reach a target before the call is abandoned. */
+const MAXIMUM_UNDELIVERED_SENDS = 5;
 
-/** How one send ended. */
+/** Outcome of one send. */
 export enum SendOutcome {
-  /** The answer was passed on whole. */
+  /** The complete response was passed on. */
   Whole = "whole",
-  /** The target has not run it and will not. */
+  /** The target did not run the call and will not. */
   NotRun = "not_run",
-  /** Nothing of it reached a target. */
+  /** Nothing was written to a target. */
   NotDelivered = "missed",
-  /** It may have run, in part or whole. */
+  /** The target may have run the call, partly or completely. */
   Broken = "broken",
 }
 
-/** Hears how the sends of a run end. */
+/** Receives the events and the outcomes of a run's sends. */
 export interface IModelRunOwner {
   onEvents(run: ModelRun): void;
   onSendEnded(run: ModelRun, end: SendOutcome, detail: string): void;
-  /** Whether a group was found lost: nothing begins to run there. */
+  /** Whether a group is lost and starts no more calls. */
   isLostGroup(group: string): boolean;
 }
 
-/** Moments of a run, for its log line. */
+/** Timestamps of a run, for its log line. */
 export interface IRunTimes {
   firstSentAt: MonotonicTime | null;
   firstEventAt: MonotonicTime | null;
   lastEventAt: MonotonicTime | null;
-  /** Longest time between two events that the caller got. */
+  /** Longest time between two events that arrived, milliseconds. */
   longestPause: number;
 }
 
-/** One send on its way. */
+/** The send in progress. */
 export interface ICurrentSend {
   readonly group: IServingGroup;
   readonly stream: IWatchedStream;
   readonly sentAt: MonotonicTime;
 }
 
-/** One model call. */
+/** A model call with its sends; receives their responses. */
 export class ModelRun implements IResponseReceiver {
   readonly call: ICall;
   readonly reply: ICallReply;
-  /** As the queue knows it; another once the answer has begun. */
+  /** Its queue item; replaced when the call is overdue or has started. */
   queueItem: IWorkItem;
   readonly #owner: IModelRunOwner;
   /** Ends the call at its deadline. */
@@ -76,27 +76,27 @@
   isFinished = false;
   /** Groups that this call was sent to. */
   readonly triedGroups = new Set<string>();
-  /** Whether a target may have begun to run it. */
+  /** Whether a target may have started to run it. */
   mayHaveRun = false;
-  #send: ISendHandle | null = null;
-  #sends = 0;
+  #sendHandle: ISendHandle | null = null;
+  #sendCount = 0;
   /** Sends of which nothing was written to a target. */
-  #missedSends = 0;
-  /** Whether a repeat was taken from the allowance for the next send. */
+  #undeliveredSends = 0;
+  /** Whether the next send already has its retry from the allowance. */
   hasRetryGrant = false;
   #targetsThatRan = 0;
   /**
-   * Groups that were left for their silence before any event. One that only
-   * was slow may have begun to run the call all the same.
+   * Groups abandoned before any event. A group that was only slow may have
+   * started to run the call all the same.
    */
-  readonly #leftSilent: string[] = [];
-  #lastEvent: string | null;
+  readonly #abandonedGroups: string[] = [];
+  #lastEventId: string | null;
   #splitter = new EventSplitter();
   #head: IResponseHead | null = null;
-  /** The body of an answer that is passed on whole only. */
-  #collected: Uint8Array[] = [];
+  /** Body of a response that is passed on only when complete. */
+  #body: Uint8Array[] = [];
   #hasEvents = false;
-  #events = 0;
+  #eventCount = 0;
   readonly times: IRunTimes = {
     firstSentAt: null,
     firstEventAt: null,
@@ -116,191 +116,194 @@
     this.reply = parts.reply;
     this.queueItem = parts.work;
     this.#owner = owner;
-    this.#lastEvent = parts.call.lastEventId;
+    this.#lastEventId = parts.call.lastEventId;
   }
 
   get lastEventId(): string | null {
-    return this.#lastEvent;
+    return this.#lastEventId;
   }
 
-  /** Events that the caller was sent. */
+  /** Number of events sent to the caller. */
   get eventCount(): number {
-    return this.#events;
+    return this.#eventCount;
   }
 
   get sendCount(): number {
-    return this.#sends;
+    return this.#sendCount;
   }
 
   /** Whether a target may have received the call. */
   get mayHaveReachedTarget(): boolean {
-    return this.#sends > this.#missedSends;
+    return this.#sendCount > this.#undeliveredSends;
   }
 
-  /** Whether another target may be sent the call after this one failed. */
+  /** Whether the call may go to another target after a failed send. */
   get canRetry(): boolean {
-    return (this.#isRepeatable || !this.mayHaveRun) && this.#hasAttempts(0);
+    return (this.#isRetryable || !this.mayHaveRun) && this.#hasAttempts(0);
   }
 
-  /** Whether the present send may be given up for another. */
+  /** Whether the current send may be aborted for another one. */
   get canRetryAfterAbort(): boolean {
     const group = this.currentSend?.group.group ?? "";
     const isCounted = this.#hasEvents || this.#owner.isLostGroup(group);
-    return this.#isRepeatable && this.#hasAttempts(isCounted ? 0 : 1);
+    return this.#isRetryable && this.#hasAttempts(isCounted ? 0 : 1);
   }
 
-  get #isRepeatable(): boolean {
+  get #isRetryable(): boolean {
     const { isResumable, kind } = this.call.route;
     return isResumable || kind === CallKind.Safe;
   }
 
-  /** @param uncounted - targets besides that may have begun to run it */
+  /** @param uncounted - further targets that may have started to run it */
   #hasAttempts(uncounted: number): boolean {
     const { maximumAttempts } = this.call.route;
-    const arrived = this.#sends - this.#missedSends;
-    const mayHaveBegun = this.#leftSilent.filter(
+    const delivered = this.#sendCount - this.#undeliveredSends;
+    const mayHaveStarted = this.#abandonedGroups.filter(
       (group) => !this.#owner.isLostGroup(group),
     );
-    const ran = this.#targetsThatRan + mayHaveBegun.length + uncounted;
+    const ran = this.#targetsThatRan + mayHaveStarted.length + uncounted;
     return (
       ran < maximumAttempts &&
-      arrived < maximumAttempts + EXTRA_SENDS &&
-      this.#missedSends < MOST_MISSED_SENDS
+      delivered < maximumAttempts + EXTRA_SENDS &&
+      this.#undeliveredSends < MAXIMUM_UNDELIVERED_SENDS
     );
   }
 
-  /** A send begins; its events come to this object. */
+  /** Starts a send; its response comes to this object. */
   startSend(current: ICurrentSend, open: () => ISendHandle): void {
     this.currentSend = current;
-    this.#sends += 1;
+    this.#sendCount += 1;
     this.times.firstSentAt ??= current.sentAt;
     this.#splitter = new EventSplitter();
     this.#head = null;
-    this.#collected = [];
+    this.#body = [];
     this.#hasEvents = false;
     this.triedGroups.add(current.group.group);
-    this.#send = open();
+    this.#sendHandle = open();
   }
 
-  /** Gives the present send up; it may have run. */
+  /** Aborts the current send; the target may have run it. */
   abort(): void {
-    this.#send?.abort();
+    this.#sendHandle?.abort();
     if (!this.#hasEvents && this.currentSend !== null) {
-      this.#leftSilent.push(this.currentSend.group.group);
+      this.#abandonedGroups.push(this.currentSend.group.group);
     }
-    this.#send = null;
+    this.#sendHandle = null;
     this.mayHaveRun = true;
   }
 
   onHead(head: IResponseHead): void {
     this.#head = head;
     if (head.isForOtherRequest) {
-      this.#giveUp(SendOutcome.Broken, "answer to another request");
+      this.#abandonSend(SendOutcome.Broken, "answer to another request");
     }
   }
 
   onData(bytes: Uint8Array): void {
     if (!this.#isStream) {
-      this.#collected.push(bytes);
+      this.#body.push(bytes);
       return;
     }
     const events = this.#splitter.push(bytes);
     for (const event of events) {
-      this.#pass(event);
+      this.#passOnEvent(event);
     }
     if (events.length > 0) {
       this.#owner.onEvents(this);
     } else if (this.#splitter.isTooLong) {
-      this.#giveUp(SendOutcome.Broken, "event without end");
+      this.#abandonSend(SendOutcome.Broken, "event exceeds the size limit");
     }
   }
 
   onEnd(): void {
     const head = this.#head;
     if (head === null) {
-      this.#giveUp(SendOutcome.Broken, "ended without a head");
+      this.#abandonSend(SendOutcome.Broken, "response ended without a head");
     } else if (head.isNotRun) {
-      this.#giveUp(SendOutcome.NotRun, `status ${head.status}`);
+      this.#abandonSend(SendOutcome.NotRun, `status ${head.status}`);
     } else if (!this.#isStream) {
-      this.#passWhole(head);
+      this.#passOnComplete(head);
     } else if (this.#splitter.hasPartialEvent) {
-      this.#giveUp(SendOutcome.Broken, "ended within an event");
+      this.#abandonSend(SendOutcome.Broken, "response ended within an event");
     } else {
-      this.#beginReply(head);
-      this.#finish(SendOutcome.Whole, "");
+      this.#startReply(head);
+      this.#endSend(SendOutcome.Whole, "");
     }
   }
 
   onFailure(failure: SendFailure, detail: string): void {
     if (failure === SendFailure.NotSent) {
-      this.#missedSends += 1;
-      this.#finish(SendOutcome.NotDelivered, detail);
+      this.#undeliveredSends += 1;
+      this.#endSend(SendOutcome.NotDelivered, detail);
     } else {
-      this.#finish(SendOutcome.Broken, detail);
+      this.#endSend(SendOutcome.Broken, detail);
     }
   }
 
-  /** Events are passed on as they come; any other answer once it is whole. */
+  /** Events are passed on as they arrive, other responses when complete. */
   get #isStream(): boolean {
     const status = this.#head?.status ?? 0;
     const isSuccess = status >= STATUS_OK && status < STATUS_REDIRECT;
     return isSuccess && this.call.route.kind === CallKind.Stream;
   }
 
-  #pass(event: IWholeEvent): void {
+  #passOnEvent(event: ICompleteEvent): void {
     if (!this.#hasEvents) {
       this.#hasEvents = true;
       this.#targetsThatRan += 1;
       this.mayHaveRun = true;
     }
-    if (this.#isKnown(event)) {
+    if (this.#isDuplicate(event)) {
       return;
     }
     if (this.#head !== null) {
-      this.#beginReply(this.#head);
+      this.#startReply(this.#head);
     }
     this.reply.write(event.bytes);
-    this.#events += 1;
-    this.#lastEvent = event.id ?? this.#lastEvent;
+    this.#eventCount += 1;
+    this.#lastEventId = event.id ?? this.#lastEventId;
   }
 
-  /** Whether the caller has the event already. */
-  #isKnown(event: IWholeEvent): boolean {
-    if (event.id === null || this.#lastEvent === null) {
+  /** Whether the caller already has the event. */
+  #isDuplicate(event: ICompleteEvent): boolean {
+    if (event.id === null || this.#lastEventId === null) {
       return false;
     }
-    return Number(event.id) <= Number(this.#lastEvent);
+    return Number(event.id) <= Number(this.#lastEventId);
   }
 
-  /** The answer keeps the head of its first target. */
-  #beginReply(head: IResponseHead): void {
+  /** Starts the reply with the head of the first target that responds. */
+  #startReply(head: IResponseHead): void {
     if (!this.reply.isStarted) {
       this.reply.start(head, null);
     }
   }
 
-  #passWhole(head: IResponseHead): void {
+  #passOnComplete(head: IResponseHead): void {
     this.mayHaveRun = true;
     if (this.reply.isStarted) {
       this.#targetsThatRan += 1;
-      this.#giveUp(SendOutcome.Broken, `status ${head.status} on resuming`);
+      this.#abandonSend(
+        SendOutcome.Broken,
+        `status ${head.status} on resumption`,
+      );
       return;
     }
-    const length = this.#collected.reduce((sum, { length }) => sum + length, 0);
+    const length = this.#body.reduce((sum, { length }) => sum + length, 0);
     this.reply.start(head, length);
-    for (const bytes of this.#collected) {
+    for (const bytes of this.#body) {
       this.reply.write(bytes);
     }
-    this.#finish(SendOutcome.Whole, `status ${head.status}`);
+    this.#endSend(SendOutcome.Whole, `status ${head.status}`);
   }
 
-  #giveUp(end: SendOutcome, detail: string): void {
-    this.#send?.abort();
-    this.#finish(end, detail);
+  #abandonSend(end: SendOutcome, detail: string): void {
+    this.#sendHandle?.abort();
+    this.#endSend(end, detail);
   }
 
-  #finish(end: SendOutcome, detail: string): void {
-    this.#send = null;
+  #endSend(end: SendOutcome, detail: string): void {
+    this.#sendHandle = null;
     if (end !== SendOutcome.NotRun && end !== SendOutcome.NotDelivered) {
       this.mayHaveRun = true;
     }
--- a/src/common/calls/model_states.ts
+++ b/src/common/calls/model_states.ts
@@ -1,4 +1,4 @@
-/** What is kept of each model of each service while its calls come. */
+/** The state kept for each model of each service that receives calls. */
 import type { MonotonicTime, ServiceName } from "../types.ts";
 import { fullBatchGap, prefillMs, runTime } from "./engine_timing.ts";
 import { FirstEventTimeEstimator } from "./first_event_time_estimator.ts";
@@ -6,70 +6,70 @@
 import { DemandEstimator } from "./demand_estimator.ts";
 import type { ICall, IEngineProfile, IModel, IServiceEntry } from "./types.ts";
 
-/** Share of the predicted run time below which no run can be in time. */
+/** Share of the predicted run time that every run takes at least. */
 const SHORTEST_RUN_SHARE = 0.6;
 
-/** Output tokens are announced as a maximum; the usual answer is shorter. */
+/** Output is announced as a maximum; the usual response has this share. */
 const USUAL_OUTPUT_SHARE = 0.5;
 
-/** Joins a service's name and a model's to a key. */
+/** Separates the service from the model in a key. */
 const KEY_SEPARATOR = "\n";
 
-/** One model of one service. */
+/** State of one model of one service. */
 export interface IModelState {
   readonly service: ServiceName;
   readonly model: string;
   readonly queue: ModelQueue;
   readonly demand: DemandEstimator;
   readonly firstEventTime: FirstEventTimeEstimator;
-  /** Milliseconds within which its newest call is on time. */
+  /** Objective of the newest call, milliseconds. */
   objective: number;
 }
 
-/** A model and the engines that run it. */
+/** A model and the profile of the engines that run it. */
 export interface IModelProfile {
   readonly engine: IEngineProfile;
   readonly model: IModel;
 }
 
-/** All models that calls have come for, by {@link modelKey}. */
+/** The models that have received calls, by {@link modelKey}. */
 export class ModelStates {
   readonly #service: (name: string) => IServiceEntry | null;
-  readonly #lanes = new Map<string, IModelState>();
+  readonly #states = new Map<string, IModelState>();
 
   constructor(service: (name: string) => IServiceEntry | null) {
     this.#service = service;
   }
 
   get all(): readonly IModelState[] {
-    return [...this.#lanes.values()];
+    return [...this.#states.values()];
   }
 
-  /** The lane of a call's model; made when its first call comes. */
+  /** The state of a call's model, created with its first call. */
   getOrCreate(call: ICall): IModelState {
     const key = modelKey(call);
-    let lane = this.#lanes.get(key);
-    if (lane === undefined) {
-      const firstEvents = new FirstEventTimeEstimator();
+    let state = this.#states.get(key);
+    if (state === undefined) {
+      const firstEventTime = new FirstEventTimeEstimator();
       const queue = new ModelQueue(
-        (one) => firstEvents.estimate + this.prefillTime(one),
+        (one) => firstEventTime.estimate + this.prefillTime(one),
       );
       const { service } = call;
       const model = call.model ?? "";
-      lane = {
+      state = {
         service,
         model,
         queue,
-        firstEventTime: firstEvents,
+        firstEventTime,
         demand: new DemandEstimator(),
         objective: call.route.objective,
       };
-      this.#lanes.set(key, lane);
+      this.#states.set(key, state);
     }
-    return lane;
+    return state;
   }
 
-  /** Counts the work of a call that has arrived. */
+  /** Adds an arriving call to the demand for its model. */
   recordArrival(call: ICall, now: MonotonicTime): void {
     const found = this.engineOf(call);
     this.getOrCreate(call).objective = call.route.objective;
@@ -83,14 +83,14 @@
     }
   }
 
-  /** Null where the configuration does not name the model. */
+  /** Null if the configuration does not contain the model. */
   engineOf(call: ICall): IModelProfile | null {
     const engine = this.#service(call.service)?.engine ?? null;
     const model = engine?.models.find(({ name }) => name === call.model);
     return engine && model ? { engine, model } : null;
   }
 
-  /** Milliseconds that a group takes to read a call's prompt. */
+  /** Prefill time of a call's prompt, milliseconds. */
   prefillTime(call: ICall): number {
     const found = this.engineOf(call);
     return found === null
@@ -98,7 +98,7 @@
       : prefillMs(found.engine, call.tokens.prompt) * found.model.pace;
   }
 
-  /** Milliseconds that a call needs at least, from its start to its end. */
+  /** Shortest time from a call's start to its end, milliseconds. */
   shortestRun(call: ICall): number {
     const found = this.engineOf(call);
     if (found === null) {
@@ -112,7 +112,7 @@
   }
 }
 
-/** Names a call's service and model. */
+/** Identifies the service and the model of a call. */
 export function modelKey(call: ICall): string {
   return `${call.service}${KEY_SEPARATOR}${call.model ?? ""}`;
 }
--- a/src/common/calls/overdue_calls_test.ts
+++ b/src/common/calls/overdue_calls_test.ts
@@ -10,10 +10,10 @@
 }
 
 describe("overdue calls", () => {
-  // An overload that lasts: nothing is left for calls that are late already.
-  // Kept waiting, their callers would leave without an answer two seconds on;
-  // told at once, they come back when there is room.
-  it("are given up soon when none of them is started", () => {
+  // Guards against overdue calls kept waiting in a lasting overload that leaves
+  // no capacity for them. Their callers would leave without a response after
+  // two seconds; refused at once, they return when there is capacity.
+  it("are refused soon when none of them is started", () => {
     const overdue = new OverdueCalls();
     const waiting = [0, 10, 20, 30, 40].map(callAt);
     const hopeless = (now: number) =>
@@ -25,7 +25,8 @@
     ]);
   });
 
-  // A burst that is over: the rest of it is worked off beside new calls.
+  // Guards against refusing calls after a burst, whose rest is served beside
+  // new calls.
   it("are kept while they are started in time", () => {
     const overdue = new OverdueCalls();
     const waiting = Array.from({ length: 20 }, (_, index) => callAt(index));
@@ -38,7 +39,7 @@
     expect(hopeless).to.have.length(0);
   });
 
-  it("are given up once their callers have left", () => {
+  it("are refused when their callers would leave first", () => {
     const overdue = new OverdueCalls();
     const hopeless = overdue.findHopeless(
       [callAt(0)],
