--- a/src/common/calls/group_choice.ts
+++ b/src/common/calls/group_choice.ts
@@ -1,44 +1,45 @@
 /**
- * Chooses the group for a model call. Pattern of load: several processes place
- * at once, each with counts of the others that are some hundred milliseconds
- * old. A group that has just opened, or that many answers have just left, looks
- * emptiest to all of them, and all send there until the next count: it gets
- * more than it has slots while others idle. One would notice by first events
- * three times as late in one group as in the rest.
+ * Chooses the group for a model call. Several processes place calls at once,
+ * each with counts of the others' calls that are some hundred milliseconds old.
+ * A group that has just opened, or has just completed many responses, looks
+ * emptiest to all of them. If all sent their calls there until the next count,
+ * it would get more calls than it has slots while others idle, and its first
+ * events would be three times as late as in the other groups.
  *
- * So each process spreads its own calls evenly, of which it knows all; the
- * sums are then even without a word between them. Of the others' counts it
- * takes only whether a group is full. Prompts that the process itself has sent
- * and that are not read yet count by their time, since they are read one after
- * the other; a group with more of them than a call can wait for gets none, and
- * the call waits here, where those that can be on time go first. Another zone's group must be a little emptier: a call costs little
- * more there than its two trips, but zones can be cut off.
+ * So each process spreads its own calls evenly, since it knows all of them; the
+ * totals are then even without coordination. Of the others' counts it uses only
+ * whether a group is full. Prompts that the process itself has sent and that
+ * still wait for prefill count by their time, since they are prefilled one
+ * after the other. A group with more of them than a call can wait for gets
+ * none; the call stays queued here, where those that can be on time go first. A
+ * group of another zone must be a little emptier: a call there costs little
+ * more than its two trips between the zones, but zones can be cut off.
  */
 import type { ZoneName } from "../types.ts";
 
-/** A group that may be sent to. */
+/** Load of a group that may receive calls. */
 export interface IGroupLoad {
   readonly group: string;
   readonly zone: ZoneName;
-  /** This process's own requests in it. */
+  /** Requests of this process in the group. */
   readonly ownInFlight: number;
-  /** The others' as last told; null while nothing is heard of them. */
+  /** Requests of other processes as last reported; null while unknown. */
   readonly othersInFlight: number | null;
-  /** Milliseconds of own prompts in it that are not read yet. */
+  /** Outstanding prefill time of this process's prompts, milliseconds. */
   readonly ownPrefillTime: number;
   readonly slots: number;
-  /** Factor on its times; over 1 it is slow. */
+  /** Factor on the group's times; above 1 it is slow. */
   readonly pace: number;
 }
 
-/** From where a call is placed. */
+/** Options of {@link chooseGroup}. */
 export interface IGroupChoiceOptions {
   readonly zone: ZoneName;
-  /** Processes that place, this one included. */
+  /** Number of processes that place calls, including this one. */
   readonly processes: number;
-  /** Milliseconds of unread prompts with which a call can still be on time. */
+  /** Longest outstanding prefill that leaves a call on time, milliseconds. */
   readonly prefillBudget: number;
-  /** In [0, 1), asked once a group. */
+  /** Random number in [0, 1), drawn once per group. */
   readonly chance: () => number;
 }
 
@@ -46,29 +47,29 @@
 const OTHER_ZONE_HANDICAP = 0.1;
 
 /**
- * Pace from which a group gets calls only when no other has room: its first
- * event is late by the step model once it takes about twice its time.
+ * Pace from which a group gets calls only when no other has a free slot: by the
+ * step model, its first event is late at about twice the normal time.
  */
 const SLOW_PACE = 1.5;
 
-/** Pace from which it gets none: usual answers would pass their deadlines. */
-const USELESS_PACE = 5;
+/** Pace from which it gets none: usual responses would miss their deadlines. */
+const UNUSABLE_PACE = 5;
 
 /**
- * While nothing is heard of the others, as after a restart of all, each of them
- * may be filling the same slots: a process takes its share and half as much
- * again, since calls are spread unevenly, and these at least.
+ * While the others' counts are unknown, as after a restart of all processes,
+ * each of them may be filling the same slots. A process then uses 1.5 times its
+ * share, since calls are spread unevenly, and at least a minimum of slots.
  */
-const UNHEARD_SHARE = 1.5;
-const FEWEST_UNHEARD_SLOTS = 2;
+const UNKNOWN_COUNTS_SHARE = 1.5;
+const UNKNOWN_COUNTS_MINIMUM = 2;
 
-/** Share of the slots that chance may add: it decides between equals. */
+/** Random part of the score, as a share of the slots: breaks ties. */
 const SPREAD = 0.08;
 
-/** Milliseconds of unread prompts that weigh as much as all slots. */
-const READING_SCALE = 200;
+/** Outstanding prefill that weighs as much as all slots, milliseconds. */
+const PREFILL_SCALE = 200;
 
-/** The group to send to; null when all are full. */
+/** The group to send to; null if none has room. */
 export function chooseGroup<T extends IGroupLoad>(
   groups: readonly T[],
   options: IGroupChoiceOptions,
@@ -76,7 +77,7 @@
   let best: T | null = null;
   let lowest = Number.POSITIVE_INFINITY;
   for (const group of groups) {
-    if (isFull(group, options) || group.pace >= USELESS_PACE) {
+    if (isFull(group, options) || group.pace >= UNUSABLE_PACE) {
       continue;
     }
     const score = scoreOf(group, options);
@@ -92,21 +93,21 @@
 function isFull(group: IGroupLoad, options: IGroupChoiceOptions): boolean {
   const { processes } = options;
   const { ownInFlight, othersInFlight, slots } = group;
-  if (isReadingFull(group, options)) {
+  if (isPrefillFull(group, options)) {
     return true;
   }
   if (othersInFlight === null) {
-    const share = (slots / Math.max(1, processes)) * UNHEARD_SHARE;
-    return ownInFlight >= Math.max(FEWEST_UNHEARD_SLOTS, Math.ceil(share));
+    const share = (slots / Math.max(1, processes)) * UNKNOWN_COUNTS_SHARE;
+    return ownInFlight >= Math.max(UNKNOWN_COUNTS_MINIMUM, Math.ceil(share));
   }
   return ownInFlight + othersInFlight >= slots;
 }
 
 /**
- * Whether a prompt more would be read too late. The others' are not known, but
- * by even spreading they are as many as this process's own.
+ * Whether a further prompt would be prefilled too late. The others' prompts are
+ * unknown, but with even spreading they are as many as this process's own.
  */
-function isReadingFull(
+function isPrefillFull(
   { ownPrefillTime }: IGroupLoad,
   { processes, prefillBudget }: IGroupChoiceOptions,
 ): boolean {
@@ -117,7 +118,7 @@
   const { zone, processes, chance } = options;
   const handicap = group.zone === zone ? 0 : OTHER_ZONE_HANDICAP;
   const load = (group.ownInFlight * Math.max(1, processes)) / group.slots;
-  const reading = group.ownPrefillTime / READING_SCALE;
+  const prefill = group.ownPrefillTime / PREFILL_SCALE;
   const slowness = group.pace >= SLOW_PACE ? options.processes : 0;
-  return load + reading + slowness + handicap + chance() * SPREAD;
+  return load + prefill + slowness + handicap + chance() * SPREAD;
 }
--- a/src/common/calls/group_choice_test.ts
+++ b/src/common/calls/group_choice_test.ts
@@ -39,20 +39,20 @@
   return chooseGroup(groups, options)?.group;
 }
 
-describe("choosing a group", () => {
-  // Six processes place with counts of one another that are some hundred
-  // milliseconds old, and groups come and go. By those counts all send to the
-  // same group at once, and callers wait for their first words there while
-  // other groups idle.
-  for (const kase of [smallCase(0.7), largeCase(0.7)]) {
-    it(`does not herd: ${kase.name}`, () => {
-      const own = playPlacing(kase, spreadOwn, SEED);
-      expect(own).to.be.below(playPlacing(kase, leastInFlight, SEED) / 2);
-      expect(own).to.be.below(playPlacing(kase, anyGroup, SEED));
+describe("chooseGroup", () => {
+  // Guards against herding: six processes place calls by counts of one another
+  // that are some hundred milliseconds old, while groups come and go. By those
+  // counts all send to the same group at once, and first events are late there
+  // while other groups idle.
+  for (const scenario of [smallCase(0.7), largeCase(0.7)]) {
+    it(`does not herd: ${scenario.name}`, () => {
+      const own = playPlacing(scenario, spreadOwn, SEED);
+      expect(own).to.be.below(playPlacing(scenario, leastInFlight, SEED) / 2);
+      expect(own).to.be.below(playPlacing(scenario, anyGroup, SEED));
     });
   }
 
-  it("takes the group with the fewest own calls", () => {
+  it("picks the group with the fewest own calls", () => {
     const groups = [
       group("a", { ownInFlight: 2 }),
       group("b", { othersInFlight: 9 }),
@@ -60,7 +60,7 @@
     expect(choose(groups)).to.equal("b");
   });
 
-  it("leaves out what is full", () => {
+  it("skips full groups", () => {
     const groups = [
       group("a", { ownInFlight: 2 }),
       group("b", { othersInFlight: 11 }),
@@ -69,20 +69,22 @@
     expect(choose([group("b", { othersInFlight: 11 })])).to.equal(undefined);
   });
 
-  // All processes were killed and start again together, and all callers come
-  // back. None knows yet what the others send; each fills the whole group, and
-  // the first words come seconds late for all of them.
-  it("takes few slots while nothing is heard of the others", () => {
-    const unheard = { othersInFlight: null };
-    expect(choose([group("a", { ...unheard, ownInFlight: 2 })])).to.equal("a");
-    expect(choose([group("a", { ...unheard, ownInFlight: 3 })])).to.equal(
+  // Guards against overfilled groups after all processes restart together and
+  // all callers return: none knows yet what the others send, each fills a whole
+  // group, and first events are seconds late for all.
+  it("uses few slots while the counts of the others are unknown", () => {
+    const unknownOthers = { othersInFlight: null };
+    expect(choose([group("a", { ...unknownOthers, ownInFlight: 2 })])).to.equal(
+      "a",
+    );
+    expect(choose([group("a", { ...unknownOthers, ownInFlight: 3 })])).to.equal(
       undefined,
     );
   });
 
-  // Prompts are read one after the other: behind a long one the first words
-  // come late although the group has room.
-  it("avoids a group that still reads this process's prompts", () => {
+  // Guards against late first events behind a long prompt: prompts are
+  // prefilled one after the other, even if the group has free slots.
+  it("avoids a group that still prefills this process's prompts", () => {
     const groups = [
       group("a", { ownPrefillTime: 20 }),
       group("b", { ownInFlight: 1 }),
@@ -90,10 +92,11 @@
     expect(choose(groups)).to.equal("b");
   });
 
-  // More prompts come than the groups can read, as after a restart of all. Sent
-  // on at once, each waits behind the others and every answer is late; with
-  // some of them held back, others are on time.
-  it("leaves a call waiting rather than behind many prompts", () => {
+  // Guards against late responses when more prompts arrive than the groups can
+  // prefill, as after a restart of all processes. Sent at once, each waits
+  // behind the others and all are late; with some held back, the others are on
+  // time.
+  it("keeps a call queued rather than behind many prompts", () => {
     expect(choose([group("a", { ownPrefillTime: 40 })])).to.equal("a");
     expect(choose([group("a", { ownPrefillTime: 50 })])).to.equal(undefined);
     const bounded = playPlacing(pressedCase(), spreadOwn, SEED);
@@ -101,8 +104,8 @@
     expect(bounded).to.be.below(unbounded);
   });
 
-  // A member of a group turned slow, and the whole group with it.
-  it("takes a slow group only when no other has room", () => {
+  // Guards against calls sent to a group that one slow member slows down.
+  it("uses a slow group only when no other has a free slot", () => {
     const slow = group("a", { ownInFlight: 0, pace: 3 });
     expect(choose([slow, group("b", { ownInFlight: 3 })])).to.equal("b");
     expect(choose([slow, group("b", { othersInFlight: 11 })])).to.equal("a");
--- a/src/common/calls/listed_groups.ts
+++ b/src/common/calls/listed_groups.ts
@@ -1,12 +1,13 @@
 /**
- * The open groups by the platform's list alone: what a process goes by while
- * it does not hear from the lease holder. The list lags by a second or more.
+ * The open groups according to the platform's list alone, which a process uses
+ * while it receives nothing from the lease holder. The list lags by a second or
+ * more.
  */
 import type { IServingGroup } from "./serving_groups.ts";
 import { ListedState, MemberState } from "./types.ts";
 import type { IEngineProfile, IListedTarget } from "./types.ts";
 
-/** Groups whose head says it is open and whose members are all listed. */
+/** Groups whose head reports open and whose members are all listed. */
 export function listedGroups(
   targets: readonly IListedTarget[],
   engine: IEngineProfile,
--- a/src/common/calls/serving_groups.ts
+++ b/src/common/calls/serving_groups.ts
@@ -1,49 +1,49 @@
-/** The open groups of all models, and how many requests each has. */
+/** The open groups of all models, and the requests in flight in each. */
 import type { InstanceId, ServiceName, ZoneName } from "../types.ts";
 import type { IGroupLoad } from "./group_choice.ts";
 import type { ISendTarget } from "./types.ts";
 
-/** A group that takes requests. */
+/** A group that serves requests. */
 export interface IServingGroup {
-  /** Names one list of members; a changed list has another name. */
+  /** Identifies one list of members; a changed list has another name. */
   readonly group: string;
   readonly service: ServiceName;
   readonly model: string;
   readonly head: ISendTarget;
   readonly zone: ZoneName;
   readonly slots: number;
-  /** False while it finishes what it has because a member leaves. */
+  /** False while it only completes its requests because a member leaves. */
   readonly takesWork: boolean;
-  /** Factor on its times beside those of its model; over 1 it is slow. */
+  /** Factor on its times in addition to its model's; above 1 it is slow. */
   readonly pace: number;
   /** True while only processes of its own zone are likely to reach it. */
   readonly isZoneOnly: boolean;
 }
 
-/** A group with what is in it. */
+/** A group and its load. */
 export interface ILoadedGroup extends IServingGroup, IGroupLoad {}
 
-/** Groups as believed by this process. */
+/** The groups known to this process. */
 export class ServingGroups {
   #groups: readonly IServingGroup[] = [];
-  readonly #own = new Map<string, number>();
-  /** Milliseconds of this process's unread prompts in each group. */
-  readonly #reading = new Map<string, number>();
-  #others: ReadonlyMap<string, number> | null = null;
+  readonly #ownInFlight = new Map<string, number>();
+  /** Outstanding prefill time of this process's prompts, milliseconds. */
+  readonly #ownPrefillTime = new Map<string, number>();
+  #othersInFlight: ReadonlyMap<string, number> | null = null;
 
-  /** Replaces the belief. */
+  /** Replaces all known groups. */
   replace(groups: readonly IServingGroup[]): void {
     this.#groups = groups;
   }
 
-  /** Requests in each group that others have sent; null when not known. */
+  /** Sets the requests of other processes in each group; null if unknown. */
   setOthersInFlight(counts: ReadonlyMap<string, number> | null): void {
-    this.#others = counts;
+    this.#othersInFlight = counts;
   }
 
   /** This process's requests in each group. */
   get ownInFlight(): ReadonlyMap<string, number> {
-    return this.#own;
+    return this.#ownInFlight;
   }
 
   get all(): readonly IServingGroup[] {
@@ -58,9 +58,10 @@
       )
       .map((group) => ({
         ...group,
-        ownInFlight: this.#own.get(group.group) ?? 0,
-        othersInFlight: this.#others && (this.#others.get(group.group) ?? 0),
-        ownPrefillTime: this.#reading.get(group.group) ?? 0,
+        ownInFlight: this.#ownInFlight.get(group.group) ?? 0,
+        othersInFlight:
+          this.#othersInFlight && (this.#othersInFlight.get(group.group) ?? 0),
+        ownPrefillTime: this.#ownPrefillTime.get(group.group) ?? 0,
       }));
   }
 
@@ -68,25 +69,28 @@
     return this.#groups.some(({ head }) => head.id === id);
   }
 
-  /** @param readTime - milliseconds its prompt takes to read */
-  recordSend(group: string, readTime: number): void {
-    this.#own.set(group, (this.#own.get(group) ?? 0) + 1);
-    this.#reading.set(group, (this.#reading.get(group) ?? 0) + readTime);
+  /** @param prefillTime - prefill time of the prompt, milliseconds */
+  recordSend(group: string, prefillTime: number): void {
+    this.#ownInFlight.set(group, (this.#ownInFlight.get(group) ?? 0) + 1);
+    this.#ownPrefillTime.set(
+      group,
+      (this.#ownPrefillTime.get(group) ?? 0) + prefillTime,
+    );
   }
 
-  /** A prompt was read, or will not be any more. */
-  recordPrefillEnd(group: string, readTime: number): void {
-    const left = (this.#reading.get(group) ?? 0) - readTime;
-    this.#reading.set(group, Math.max(0, left));
+  /** A prompt has been prefilled, or will not be any more. */
+  recordPrefillEnd(group: string, prefillTime: number): void {
+    const left = (this.#ownPrefillTime.get(group) ?? 0) - prefillTime;
+    this.#ownPrefillTime.set(group, Math.max(0, left));
   }
 
   recordEnd(group: string): void {
-    const left = (this.#own.get(group) ?? 1) - 1;
+    const left = (this.#ownInFlight.get(group) ?? 1) - 1;
     if (left > 0) {
-      this.#own.set(group, left);
+      this.#ownInFlight.set(group, left);
     } else {
-      this.#own.delete(group);
-      this.#reading.delete(group);
+      this.#ownInFlight.delete(group);
+      this.#ownPrefillTime.delete(group);
     }
   }
 }
--- a/src/common/calls/silence_limits.ts
+++ b/src/common/calls/silence_limits.ts
@@ -1,47 +1,47 @@
 /**
  * How long the streams of one model may be silent.
  *
- * A group in order answers its streams pass by pass: between two events lie the
- * token steps of one pass, and what is read of prompts in it, most often little
- * and at times one chunk a step. Two limits follow. From the first on a group
- * is in doubt: it gets nothing new and the lease holder asks its members, which
- * costs little if it was wrong. From the second on its streams are taken
- * elsewhere, which costs a repeat and a second reading of the prompt. Taken
- * elsewhere at the first limit, many streams would be moved off groups in
- * order, while one that was in a lost group is late either way.
+ * A healthy group sends the events of its streams pass by pass. Between two
+ * events lie the token steps of one pass and the prompts that are prefilled in
+ * it, usually few and at times one chunk per step. Two limits follow. From the
+ * first, the group is suspected: it gets no new calls, and the lease holder
+ * asks its members, which costs little if the suspicion was wrong. From the
+ * second, its streams are retried elsewhere, which costs a retry and a second
+ * prefill. Retrying at the first limit would move many streams off healthy
+ * groups, while a stream of a lost group is late either way.
  *
- * The limits are also never below what was seen of late (mean and four mean
+ * The limits are also never below recently observed times (mean and four mean
  * deviations, as TCP sets its timeout), so a link or a service that is slow for
- * all is not taken for a stall. Each model is judged by its own times: those of
- * a quick one would bring a slow one under suspicion.
+ * all does not count as stalled. Each model has its own estimates, since those
+ * of a fast model would make a slow one suspected.
  */
 import type { MonotonicTime } from "../types.ts";
 
-/** Multiple of a gap that is no cause for doubt. */
+/** Multiple of the expected gap that is not suspicious. */
 const GAP_FACTOR = 2;
 
-/** A first event needs a place in the batch as well: this much longer. */
+/** A first event also waits for a place in the batch: this much longer. */
 const FIRST_EVENT_FACTOR = 1.5;
 
-/** No silence is judged before this, milliseconds: two cross-zone trips. */
+/** Shortest limit of a silence, milliseconds: two cross-zone trips. */
 const SHORTEST_LIMIT = 60;
 
-/** Mean deviations above the mean; TCP's retransmission timeout has four. */
+/** Mean deviations above the mean; TCP's retransmission timeout uses four. */
 const DEVIATIONS = 4;
 
 /** Weight of the newest sample in mean and deviation, as in TCP. */
 const MEAN_WEIGHT = 1 / 8;
 const DEVIATION_WEIGHT = 1 / 4;
 
-/** One stream under watch. */
+/** A stream that is watched for stalls. */
 export interface IWatchedStream {
   readonly group: string;
   readonly model: string;
-  /** Milliseconds between events while one chunk of a prompt is read. */
+  /** Milliseconds between events while one chunk of a prompt is prefilled. */
   readonly gapDuringPrefill: number;
-  /** The same while a chunk is read in each step. */
+  /** The same while each step prefills a chunk. */
   readonly longestGap: number;
-  /** Milliseconds its prompt takes to read. */
+  /** Prefill time of its prompt, milliseconds. */
   readonly prefillTime: number;
   sentAt: MonotonicTime;
   /** Null before its first event. */
@@ -50,39 +50,46 @@
 
 /** The limits of one model's streams. */
 export class SilenceLimits {
-  readonly #gaps = new Estimate();
-  readonly #firsts = new Estimate();
+  readonly #gapEstimate = new MovingEstimate();
+  readonly #firstEventEstimate = new MovingEstimate();
 
-  /** An event of the stream has come; its times are still those before it. */
+  /** Records an event; the stream's times must still be those before it. */
   recordEvent(stream: IWatchedStream, now: MonotonicTime): void {
     if (stream.lastEventAt === null) {
-      this.#firsts.add(now - stream.sentAt - stream.prefillTime);
+      this.#firstEventEstimate.add(now - stream.sentAt - stream.prefillTime);
     } else {
-      this.#gaps.add(now - stream.lastEventAt);
+      this.#gapEstimate.add(now - stream.lastEventAt);
     }
   }
 
-  /** Milliseconds of silence from which its group is in doubt. */
+  /** Silence from which its group is suspected, milliseconds. */
   suspicionLimit(stream: IWatchedStream): number {
-    const byModel = stream.gapDuringPrefill * GAP_FACTOR;
-    const byGaps = Math.max(byModel, this.#gaps.limit, SHORTEST_LIMIT);
+    const expectedLimit = stream.gapDuringPrefill * GAP_FACTOR;
+    const gapLimit = Math.max(
+      expectedLimit,
+      this.#gapEstimate.limit,
+      SHORTEST_LIMIT,
+    );
     if (stream.lastEventAt !== null) {
-      return byGaps;
+      return gapLimit;
     }
-    const first = Math.max(byGaps * FIRST_EVENT_FACTOR, this.#firsts.limit);
-    return first + stream.prefillTime;
+    const firstEventLimit = Math.max(
+      gapLimit * FIRST_EVENT_FACTOR,
+      this.#firstEventEstimate.limit,
+    );
+    return firstEventLimit + stream.prefillTime;
   }
 
-  /** Milliseconds of silence from which it is taken elsewhere. */
+  /** Silence from which the stream is retried elsewhere, milliseconds. */
   stallLimit(stream: IWatchedStream): number {
-    const byModel = stream.longestGap * GAP_FACTOR;
-    const reading = stream.lastEventAt === null ? stream.prefillTime : 0;
-    return Math.max(byModel + reading, this.suspicionLimit(stream));
+    const expectedLimit = stream.longestGap * GAP_FACTOR;
+    const prefill = stream.lastEventAt === null ? stream.prefillTime : 0;
+    return Math.max(expectedLimit + prefill, this.suspicionLimit(stream));
   }
 }
 
-/** A mean and its mean deviation. */
-class Estimate {
+/** Moving mean and mean deviation of samples. */
+class MovingEstimate {
   #mean: number | null = null;
   #deviation = 0;
 
--- a/src/common/calls/stall_detector.ts
+++ b/src/common/calls/stall_detector.ts
@@ -1,79 +1,79 @@
 /**
- * Notices a group that stands still. Pattern of load: a member of a serving
- * group dies; the head goes on accepting, moves nothing, and says so only
- * after the platform's stall time of some seconds. Without this each request
- * sent there in the meantime waits for its deadline, and streams that had
- * begun pause for seconds; one would notice by a 99th of the first event
- * twenty times the median.
+ * Detects groups that stall. When a member of a serving group dies, the head
+ * keeps accepting requests but makes no progress, and reports this only after
+ * the platform's stall time of some seconds. Undetected, each request sent
+ * there in the meantime waits for its deadline, started streams pause for
+ * seconds, and the 99th percentile of the first event is twenty times the
+ * median.
  *
- * A group in order answers all its streams in step, so when all of them have
- * been silent for longer than {@link SilenceLimits} allow, the group is in
- * doubt, and soon after its streams are taken elsewhere. One silent stream
- * among others that move proves nothing of the group; it is given up only after
- * {@link ALONE_FACTOR} times as long. A pause of this process moves all
- * reference times on by its length.
+ * A healthy group answers all its streams in step. When all of them have been
+ * silent for longer than {@link SilenceLimits} allow, the group is suspected,
+ * and soon after its streams are retried elsewhere. One silent stream among
+ * others that progress says nothing about the group; it is abandoned only after
+ * {@link ALONE_FACTOR} times as long. A pause of this process shifts all
+ * reference times by its length.
  */
 import type { MonotonicTime } from "../types.ts";
 import { SilenceLimits } from "./silence_limits.ts";
 import type { IWatchedStream } from "./silence_limits.ts";
 
-/** How much longer one stream alone may be silent than its whole group. */
+/** How much longer a single stream may be silent than its whole group. */
 const ALONE_FACTOR = 4;
 
 /** A longer gap between two checks is a pause of this process, milliseconds. */
 const LONGEST_CHECK_GAP = 80;
 
-/** How long a suspected group gets nothing, milliseconds. */
+/** How long a suspected group gets no calls, milliseconds. */
 const SUSPICION_TIME = 1_500;
 
 interface IWatchedGroup {
   readonly streams: Set<IWatchedStream>;
-  heardAt: MonotonicTime;
-  suspectUntil: MonotonicTime;
+  lastEventAt: MonotonicTime;
+  suspectedUntil: MonotonicTime;
 }
 
-/** What a check found. */
+/** Result of one check. */
 export interface IStalls {
-  /** Groups suspected from now on. */
+  /** Newly suspected groups. */
   readonly suspectedGroups: readonly string[];
-  /** Streams to be taken elsewhere. */
+  /** Streams to be retried elsewhere. */
   readonly stalledStreams: readonly IWatchedStream[];
 }
 
-/** Watches the streams of one service in one process. */
+/** Watches the streams of all groups in one process. */
 export class StallDetector {
   readonly #groups = new Map<string, IWatchedGroup>();
   /** By model. */
   readonly #limits = new Map<string, SilenceLimits>();
   #checkedAt: MonotonicTime | null = null;
 
-  /** Whether a group is suspected and should get nothing. */
+  /** Whether a group is suspected and should get no calls. */
   isSuspected(group: string, now: MonotonicTime): boolean {
-    return now < (this.#groups.get(group)?.suspectUntil ?? 0);
+    return now < (this.#groups.get(group)?.suspectedUntil ?? 0);
   }
 
-  /** Groups suspected at this moment. */
+  /** Groups suspected at this time. */
   suspectedGroups(now: MonotonicTime): readonly string[] {
     return [...this.#groups]
-      .filter(([, { suspectUntil }]) => now < suspectUntil)
+      .filter(([, { suspectedUntil }]) => now < suspectedUntil)
       .map(([name]) => name);
   }
 
   recordSend(stream: IWatchedStream): void {
     const group = this.#groupOf(stream.group, stream.sentAt);
     if (group.streams.size === 0) {
-      group.heardAt = stream.sentAt;
+      group.lastEventAt = stream.sentAt;
     }
     group.streams.add(stream);
   }
 
-  /** An event of the stream arrived: its group moves. */
+  /** Records an event, which clears the suspicion of the stream's group. */
   recordEvent(stream: IWatchedStream, now: MonotonicTime): void {
     this.#limitsOf(stream).recordEvent(stream, now);
     stream.lastEventAt = now;
     const group = this.#groupOf(stream.group, now);
-    group.heardAt = now;
-    group.suspectUntil = 0;
+    group.lastEventAt = now;
+    group.suspectedUntil = 0;
   }
 
   removeStream(stream: IWatchedStream): void {
@@ -81,30 +81,30 @@
     group?.streams.delete(stream);
   }
 
-  /** The group was seen to refuse or to break off: it is not used for a while. */
+  /** Suspects a group that refused a call or broke one off. */
   suspect(name: string, now: MonotonicTime): void {
-    this.#groupOf(name, now).suspectUntil = now + SUSPICION_TIME;
+    this.#groupOf(name, now).suspectedUntil = now + SUSPICION_TIME;
   }
 
-  /** Compares the silences with their limits; called every few steps. */
+  /** Compares the silences with their limits; called every few token steps. */
   check(now: MonotonicTime): IStalls {
-    this.#allowForPause(now);
+    this.#shiftForPause(now);
     const groups: string[] = [];
     const streams: IWatchedStream[] = [];
     for (const [name, group] of this.#groups) {
       if (group.streams.size === 0) {
-        this.#forget(name, group, now);
+        this.#forgetUnlessSuspected(name, group, now);
         continue;
       }
-      if (this.#isInDoubt(group, now)) {
-        if (now >= group.suspectUntil) {
+      if (this.#isSilent(group, now)) {
+        if (now >= group.suspectedUntil) {
           groups.push(name);
         }
-        group.suspectUntil = now + SUSPICION_TIME;
+        group.suspectedUntil = now + SUSPICION_TIME;
       }
-      const isStill = this.#isStill(group, now);
+      const isStalled = this.#isStalled(group, now);
       for (const stream of group.streams) {
-        if (isStill || this.#isAlone(stream, now)) {
+        if (isStalled || this.#isStreamStalled(stream, now)) {
           streams.push(stream);
         }
       }
@@ -112,22 +112,22 @@
     return { suspectedGroups: groups, stalledStreams: streams };
   }
 
-  /** Silence of all streams; each has its own limit and the longest counts. */
-  #isInDoubt(group: IWatchedGroup, now: MonotonicTime): boolean {
-    const silence = now - group.heardAt;
+  /** Whether every stream has been silent for longer than its limit. */
+  #isSilent(group: IWatchedGroup, now: MonotonicTime): boolean {
+    const silence = now - group.lastEventAt;
     return [...group.streams].every(
       (stream) => silence > this.#limitsOf(stream).suspicionLimit(stream),
     );
   }
 
-  #isStill(group: IWatchedGroup, now: MonotonicTime): boolean {
-    const silence = now - group.heardAt;
+  #isStalled(group: IWatchedGroup, now: MonotonicTime): boolean {
+    const silence = now - group.lastEventAt;
     return [...group.streams].every(
       (stream) => silence > this.#limitsOf(stream).stallLimit(stream),
     );
   }
 
-  #isAlone(stream: IWatchedStream, now: MonotonicTime): boolean {
+  #isStreamStalled(stream: IWatchedStream, now: MonotonicTime): boolean {
     const since = stream.lastEventAt ?? stream.sentAt;
     const limit = this.#limitsOf(stream).suspicionLimit(stream) * ALONE_FACTOR;
     return now - since > limit;
@@ -142,14 +142,14 @@
     return limits;
   }
 
-  #allowForPause(now: MonotonicTime): void {
+  #shiftForPause(now: MonotonicTime): void {
     const gap = now - (this.#checkedAt ?? now);
     this.#checkedAt = now;
     if (gap <= LONGEST_CHECK_GAP) {
       return;
     }
     for (const group of this.#groups.values()) {
-      group.heardAt = Math.min(now, group.heardAt + gap);
+      group.lastEventAt = Math.min(now, group.lastEventAt + gap);
       for (const stream of group.streams) {
         stream.sentAt = Math.min(now, stream.sentAt + gap);
         if (stream.lastEventAt !== null) {
@@ -159,8 +159,12 @@
     }
   }
 
-  #forget(name: string, group: IWatchedGroup, now: MonotonicTime): void {
-    if (now >= group.suspectUntil) {
+  #forgetUnlessSuspected(
+    name: string,
+    group: IWatchedGroup,
+    now: MonotonicTime,
+  ): void {
+    if (now >= group.suspectedUntil) {
       this.#groups.delete(name);
     }
   }
@@ -168,7 +172,7 @@
   #groupOf(name: string, now: MonotonicTime): IWatchedGroup {
     let group = this.#groups.get(name);
     if (group === undefined) {
-      group = { streams: new Set(), heardAt: now, suspectUntil: 0 };
+      group = { streams: new Set(), lastEventAt: now, suspectedUntil: 0 };
       this.#groups.set(name, group);
     }
     return group;
--- a/src/common/calls/zone_reachability.ts
+++ b/src/common/calls/zone_reachability.ts
@@ -1,73 +1,73 @@
 /**
- * Which other zones this process reaches. Pattern of load: the links to a zone
- * are cut. Each call sent there waits for its connection in vain, one group
- * after the other, and again whenever the suspicion of a group ends; one would
- * notice by first events that are late by the time limit of a connection for
- * as long as the cut lasts, while the groups of this zone could have answered.
+ * Which other zones this process reaches. When the links to a zone are cut,
+ * each call sent there waits for its connection in vain, one group after the
+ * other, and again whenever the suspicion of a group ends. First events would
+ * be late by the connection timeout for as long as the cut lasts, although
+ * groups of this zone could have answered.
  *
- * Several groups of a zone that are missed in a row, with nothing heard from
- * any of its groups in between, mean that the zone is out of reach. It then
- * gets one call at a time as a trial, and is back with the first event.
+ * A zone counts as unreachable once several of its groups have failed in a row,
+ * without an event from any of its groups in between. It then gets one trial
+ * call at a time, and is reachable again with the first event.
  */
 import type { MonotonicTime, ZoneName } from "../types.ts";
 
-/** Different groups missed in a row: one or two heads may just have died. */
-const MISSED_GROUPS = 3;
+/** Different groups that fail in a row: one or two heads may just have died. */
+const FAILED_GROUPS = 3;
 
 /** Time between two trials of a zone, milliseconds; each delays one call. */
 const TRIAL_PERIOD = 700;
 
-/** Misses that are further apart have no common cause, milliseconds. */
-const MISS_LIFETIME = 1_500;
+/** Failures that are further apart have no common cause, milliseconds. */
+const FAILURE_LIFETIME = 1_500;
 
 interface IZoneState {
-  /** Groups missed since anything was heard from the zone. */
+  /** Groups that failed since the last event from the zone. */
   readonly missed: Map<string, MonotonicTime>;
-  isOut: boolean;
-  triedAt: MonotonicTime;
+  isUnreachable: boolean;
+  lastTrialAt: MonotonicTime;
 }
 
-/** The zones as reached by one process. */
+/** Reachability of the other zones from one process. */
 export class ZoneReachability {
-  readonly #own: ZoneName;
+  readonly #ownZone: ZoneName;
   readonly #zones = new Map<ZoneName, IZoneState>();
 
-  /** @param own - the process's zone, which is never taken for out of reach */
-  constructor(own: ZoneName) {
-    this.#own = own;
+  /** @param ownZone - the process's zone, which always counts as reachable */
+  constructor(ownZone: ZoneName) {
+    this.#ownZone = ownZone;
   }
 
-  /** An event came from a group of the zone. */
+  /** An event arrived from a group of the zone. */
   recordEvent(zone: ZoneName): void {
     this.#zones.delete(zone);
   }
 
-  /** A group of the zone did not connect, or fell silent. */
+  /** A group of the zone did not connect or fell silent. */
   recordUnreachable(zone: ZoneName, group: string, now: MonotonicTime): void {
-    if (zone === this.#own) {
+    if (zone === this.#ownZone) {
       return;
     }
     const state = this.#stateOf(zone);
     state.missed.set(group, now);
     for (const [name, at] of state.missed) {
-      if (now - at > MISS_LIFETIME) {
+      if (now - at > FAILURE_LIFETIME) {
         state.missed.delete(name);
       }
     }
-    state.isOut ||= state.missed.size >= MISSED_GROUPS;
+    state.isUnreachable ||= state.missed.size >= FAILED_GROUPS;
   }
 
   /** Whether a call may be sent to the zone now. */
   mayTry(zone: ZoneName, now: MonotonicTime): boolean {
     const state = this.#zones.get(zone);
-    return !state?.isOut || now - state.triedAt >= TRIAL_PERIOD;
+    return !state?.isUnreachable || now - state.lastTrialAt >= TRIAL_PERIOD;
   }
 
-  /** A call was sent there. */
+  /** A call was sent to the zone. */
   recordSend(zone: ZoneName, now: MonotonicTime): void {
     const state = this.#zones.get(zone);
     if (state !== undefined) {
-      state.triedAt = now;
+      state.lastTrialAt = now;
     }
   }
 
@@ -76,8 +76,8 @@
     if (state === undefined) {
       state = {
         missed: new Map(),
-        isOut: false,
-        triedAt: Number.NEGATIVE_INFINITY,
+        isUnreachable: false,
+        lastTrialAt: Number.NEGATIVE_INFINITY,
       };
       this.#zones.set(zone, state);
     }
