--- a/src/common/calls/plain_calls.ts
+++ b/src/common/calls/plain_calls.ts
@@ -1,6 +1,6 @@
 /**
- * Sends calls to plain services. Answers are passed on once they are whole, so
- * that a broken one can be asked for again where that does no harm.
+ * Sends calls to plain services. Responses are passed on only when complete, so
+ * that a call with a broken response can be retried where that is safe.
  */
 import type { IDisposable } from "../disposable.ts";
 import type { IClock, ILog, IMetrics } from "../services/services.ts";
@@ -26,22 +26,22 @@
 const STATUS_SERVER_ERROR = 500;
 
 /**
- * Share of the objective after which a safe call that has no answer is sent to
- * another target: late enough that a sound target has usually answered, early
- * enough that the second answer can still be on time.
+ * Share of the objective after which a safe call without a response is sent to
+ * another target: late enough that a healthy target has usually responded,
+ * early enough that the second response can still be on time.
  */
-const SECOND_TRY_SHARE = 0.5;
+const RETRY_SHARE = 0.5;
 
-/** When to come back where no target could be sent to, milliseconds. */
+/** Retry-after time of refused calls, milliseconds. */
 const RETRY_AFTER = 250;
 
-/** The outcome of a call whose target's answer was passed on. */
+/** Outcome of a call whose target's response was passed on. */
 const WHOLE = "whole";
 
-/** What the plain calls need. */
+/** Dependencies of {@link PlainCalls}. */
 export interface IPlainCallParts {
   readonly targets: PlainTargetSelector;
-  /** The listed targets of a service that take work. */
+  /** The listed targets of a service that accept new calls. */
   readonly readyTargets: (service: string) => readonly IListedTarget[];
   readonly sender: ICallSender;
   readonly retries: ServiceRetryAllowances;
@@ -59,11 +59,11 @@
     this.#parts = parts;
   }
 
-  /** Returns what to do when the caller leaves. */
+  /** Accepts a call; returns the handler for its caller's disconnect. */
   submit(call: ICall, reply: ICallReply): () => void {
     const run = new PlainRun(call, { reply, parts: this.#parts });
     run.start();
-    return () => run.callerLeft();
+    return () => run.handleDisconnect();
   }
 }
 
@@ -72,13 +72,13 @@
   readonly #call: ICall;
   readonly #reply: ICallReply;
   readonly #parts: IPlainCallParts;
-  readonly #tried = new Set<InstanceId>();
+  readonly #triedTargets = new Set<InstanceId>();
   readonly #timers: IDisposable[] = [];
-  /** Targets that the call may have reached. */
-  #sends = 0;
-  #current: PlainSend | null = null;
+  /** Number of targets that the call may have reached. */
+  #sendCount = 0;
+  #currentSend: PlainSend | null = null;
   #mayHaveRun = false;
-  #isOver = false;
+  #isFinished = false;
 
   constructor(
     call: ICall,
@@ -92,13 +92,13 @@
   start(): void {
     const { clock } = this.#parts;
     const left = this.#call.deadline - clock.now();
-    this.#timers.push(clock.after(left, () => this.#timedOut()));
+    this.#timers.push(clock.after(left, () => this.#handleTimeout()));
     this.#send();
   }
 
-  callerLeft(): void {
-    if (!this.#isOver) {
-      this.#dropSend();
+  handleDisconnect(): void {
+    if (!this.#isFinished) {
+      this.#abortSend();
       this.#finish("caller_left", {});
     }
   }
@@ -114,7 +114,7 @@
       this.#parts.readyTargets(service),
       {
         zone: this.#parts.zone,
-        excluded: this.#tried,
+        excluded: this.#triedTargets,
         now,
       },
     );
@@ -126,37 +126,41 @@
       );
       return;
     }
-    if (this.#tried.size === 0) {
+    if (this.#triedTargets.size === 0) {
       this.#parts.retries.recordFirstSend(service, now);
     }
-    this.#tried.add(target.id);
-    this.#sends += 1;
+    this.#triedTargets.add(target.id);
+    this.#sendCount += 1;
     this.#parts.targets.recordSend(target.id);
-    const send = new PlainSend(target.id, (answer) => this.#ended(answer));
-    this.#current = send;
-    send.open = this.#parts.sender.send(target, this.#call, {
+    const send = new PlainSend(target.id, (answer) => this.#handleEnd(answer));
+    this.#currentSend = send;
+    send.handle = this.#parts.sender.send(target, this.#call, {
       timeLeft: this.#call.deadline - now,
       lastEventId: this.#call.lastEventId,
       onNewConnection: !this.#isSafe,
       receiver: send,
     });
-    this.#watchSilence(send, now);
+    this.#scheduleRetry(send, now);
   }
 
-  /** A safe call is not left with a target that does not answer. */
-  #watchSilence(send: PlainSend, now: MonotonicTime): void {
+  /** Retries a safe call elsewhere if the target does not respond soon. */
+  #scheduleRetry(send: PlainSend, now: MonotonicTime): void {
     if (!this.#isSafe) {
       return;
     }
-    const patience = this.#call.route.objective * SECOND_TRY_SHARE;
+    const delay = this.#call.route.objective * RETRY_SHARE;
     const left = this.#call.deadline - now;
-    const timer = this.#parts.clock.after(Math.min(patience, left), () => {
-      if (this.#current === send && !this.#isOver && this.#mayTryAgain()) {
+    const timer = this.#parts.clock.after(Math.min(delay, left), () => {
+      if (
+        this.#currentSend === send &&
+        !this.#isFinished &&
+        this.#takeRetry()
+      ) {
         this.#parts.targets.recordNoResponse(
           send.target,
           this.#parts.clock.now(),
         );
-        this.#dropSend();
+        this.#abortSend();
         this.#logFailure(send.target, "silent");
         this.#send();
       }
@@ -164,17 +168,17 @@
     this.#timers.push(timer);
   }
 
-  #ended(answer: IPlainAnswer): void {
-    const send = this.#current;
-    if (send === null || this.#isOver) {
+  #handleEnd(answer: IPlainResponse): void {
+    const send = this.#currentSend;
+    if (send === null || this.#isFinished) {
       return;
     }
-    this.#current = null;
+    this.#currentSend = null;
     const { targets, clock } = this.#parts;
     targets.recordEnd(send.target);
     const { head, failure } = answer;
     const isNotRun = failure === SendFailure.NotSent || head?.isNotRun === true;
-    this.#sends -= failure === SendFailure.NotSent ? 1 : 0;
+    this.#sendCount -= failure === SendFailure.NotSent ? 1 : 0;
     this.#mayHaveRun ||= !isNotRun;
     const isGood =
       failure === null && head !== null && head.status < STATUS_SERVER_ERROR;
@@ -186,23 +190,23 @@
       targets.recordFailure(send.target, clock.now());
     }
     if (isGood && !isNotRun) {
-      this.#pass(head, answer.body);
+      this.#passOn(head, answer.body);
     } else {
-      this.#failed(send.target, { answer, isNotRun });
+      this.#handleFailure(send.target, { answer, isNotRun });
     }
   }
 
-  #failed(
+  #handleFailure(
     target: InstanceId,
-    end: { readonly answer: IPlainAnswer; readonly isNotRun: boolean },
+    end: { readonly answer: IPlainResponse; readonly isNotRun: boolean },
   ): void {
     const { head, failure, detail, body } = end.answer;
     this.#logFailure(target, detail || `status ${head?.status ?? 0}`);
-    const isRepeatable = this.#isSafe || !this.#mayHaveRun;
-    if (isRepeatable && this.#mayTryAgain()) {
+    const isRetryable = this.#isSafe || !this.#mayHaveRun;
+    if (isRetryable && this.#takeRetry()) {
       this.#send();
     } else if (failure === null && head !== null && !end.isNotRun) {
-      this.#pass(head, body);
+      this.#passOn(head, body);
     } else if (end.isNotRun && !this.#mayHaveRun) {
       this.#refuse(CallRefusalReason.TargetRefused);
     } else {
@@ -210,48 +214,48 @@
     }
   }
 
-  /** Takes a repeat from the allowance if the call may have one. */
-  #mayTryAgain(): boolean {
+  /** Takes a retry from the allowance if the call may be sent again. */
+  #takeRetry(): boolean {
     const { clock, retries, readyTargets } = this.#parts;
     const { service, route, deadline } = this.#call;
     const now = clock.now();
     const hasOther = readyTargets(service).some(
-      ({ id }) => !this.#tried.has(id),
+      ({ id }) => !this.#triedTargets.has(id),
     );
     return (
       hasOther &&
       now < deadline &&
-      this.#sends < route.maximumAttempts &&
+      this.#sendCount < route.maximumAttempts &&
       retries.tryTake(service, now)
     );
   }
 
-  #dropSend(): void {
-    const send = this.#current;
+  #abortSend(): void {
+    const send = this.#currentSend;
     if (send !== null) {
-      this.#current = null;
+      this.#currentSend = null;
       this.#mayHaveRun = true;
-      send.open?.abort();
+      send.handle?.abort();
       this.#parts.targets.recordEnd(send.target);
     }
   }
 
-  #timedOut(): void {
-    if (this.#isOver) {
+  #handleTimeout(): void {
+    if (this.#isFinished) {
       return;
     }
-    const send = this.#current;
+    const send = this.#currentSend;
     if (send !== null) {
       this.#parts.targets.recordNoResponse(
         send.target,
         this.#parts.clock.now(),
       );
     }
-    this.#dropSend();
+    this.#abortSend();
     this.#refuse(CallRefusalReason.DeadlinePassed);
   }
 
-  #pass(head: IResponseHead, body: readonly Uint8Array[]): void {
+  #passOn(head: IResponseHead, body: readonly Uint8Array[]): void {
     this.#finish(WHOLE, { status: head.status });
     const length = body.reduce((sum, { length }) => sum + length, 0);
     this.#reply.start(head, length);
@@ -262,12 +266,12 @@
   }
 
   #refuse(reason: CallRefusalReason): void {
-    const end = this.#endOf(reason);
-    this.#finish(end, { reason });
-    this.#reply.refuse({ kind: end, reason, retryAfter: RETRY_AFTER });
+    const kind = this.#refusalKindOf(reason);
+    this.#finish(kind, { reason });
+    this.#reply.refuse({ kind, reason, retryAfter: RETRY_AFTER });
   }
 
-  #endOf(reason: CallRefusalReason): CallRefusalKind {
+  #refusalKindOf(reason: CallRefusalReason): CallRefusalKind {
     if (!this.#mayHaveRun) {
       return CallRefusalKind.NotRun;
     }
@@ -288,7 +292,7 @@
     outcome: string,
     fields: Readonly<Record<string, string | number>>,
   ): void {
-    this.#isOver = true;
+    this.#isFinished = true;
     for (const timer of this.#timers) {
       timer.dispose();
     }
@@ -300,7 +304,7 @@
       route: this.#call.route.name,
       outcome,
       took_ms: Math.round(took),
-      targets: [...this.#tried].join(","),
+      targets: [...this.#triedTargets].join(","),
       ...fields,
     };
     if (outcome === WHOLE) {
@@ -311,32 +315,32 @@
   }
 }
 
-/** How one send ended. */
-interface IPlainAnswer {
+/** Outcome of one send. */
+interface IPlainResponse {
   readonly head: IResponseHead | null;
   readonly body: readonly Uint8Array[];
-  /** Null when the answer is whole. */
+  /** Null if the response is complete. */
   readonly failure: SendFailure | null;
   readonly detail: string;
 }
 
-/** Collects one answer. */
+/** Collects the response of one send. */
 class PlainSend implements IResponseReceiver {
   readonly target: InstanceId;
-  open: ISendHandle | null = null;
-  readonly #ended: (answer: IPlainAnswer) => void;
+  handle: ISendHandle | null = null;
+  readonly #onEnded: (answer: IPlainResponse) => void;
   readonly #body: Uint8Array[] = [];
   #head: IResponseHead | null = null;
 
-  constructor(target: InstanceId, ended: (answer: IPlainAnswer) => void) {
+  constructor(target: InstanceId, onEnded: (answer: IPlainResponse) => void) {
     this.target = target;
-    this.#ended = ended;
+    this.#onEnded = onEnded;
   }
 
   onHead(head: IResponseHead): void {
     this.#head = head;
     if (head.isForOtherRequest) {
-      this.open?.abort();
+      this.handle?.abort();
       this.onFailure(SendFailure.Broken, "answer to another request");
     }
   }
@@ -346,14 +350,14 @@
   }
 
   onEnd(): void {
-    this.#ended(this.#answer(null, ""));
+    this.#onEnded(this.#response(null, ""));
   }
 
   onFailure(failure: SendFailure, detail: string): void {
-    this.#ended(this.#answer(failure, detail));
+    this.#onEnded(this.#response(failure, detail));
   }
 
-  #answer(failure: SendFailure | null, detail: string): IPlainAnswer {
+  #response(failure: SendFailure | null, detail: string): IPlainResponse {
     return { head: this.#head, body: this.#body, failure, detail };
   }
 }
--- a/src/common/calls/plain_calls_test.ts
+++ b/src/common/calls/plain_calls_test.ts
@@ -37,8 +37,8 @@
   isAborted: boolean;
 }
 
-/** Plain calls of one process; targets answer as the test says. */
-class Play {
+/** The plain calls of one process, with targets controlled by the test. */
+class PlainCallsHarness {
   readonly clock = new ManualClock();
   readonly sends: ISend[] = [];
   readonly #calls: PlainCalls;
@@ -85,76 +85,77 @@
 }
 
 describe("plain calls", () => {
-  it("passes a whole answer on", () => {
-    const play = new Play();
-    const reply = play.take();
-    play.answer(0, headOf(200), "page");
+  it("passes on a complete response", () => {
+    const harness = new PlainCallsHarness();
+    const reply = harness.take();
+    harness.answer(0, headOf(200), "page");
     expect(reply.text).to.equal("page");
     expect(reply.head?.status).to.equal(200);
   });
 
-  // One of three targets goes silent. Its callers would wait for their whole
-  // timeout although the others answer in a tenth of it.
-  it("asks another target when one does not answer a safe call", () => {
-    const play = new Play();
-    const reply = play.take();
-    play.clock.advance(100);
-    expect(play.sends[0]?.isAborted).to.equal(true);
-    play.answer(1, headOf(200), "page");
+  // Guards against callers that wait for their whole timeout because one of
+  // three targets is silent, although the others respond in a tenth of it.
+  it("retries a safe call at another target when one does not respond", () => {
+    const harness = new PlainCallsHarness();
+    const reply = harness.take();
+    harness.clock.advance(100);
+    expect(harness.sends[0]?.isAborted).to.equal(true);
+    harness.answer(1, headOf(200), "page");
     expect(reply.text).to.equal("page");
-    expect(play.sends[1]?.target).to.not.equal(play.sends[0]?.target);
+    expect(harness.sends[1]?.target).to.not.equal(harness.sends[0]?.target);
   });
 
-  // An order was sent and no answer came. Sent once more, the wood is bought
-  // twice; told "not run", the caller sends it once more himself.
-  it("never sends an unsafe call again, and does not say it has not run", () => {
-    const play = new Play();
-    const reply = play.take(UNSAFE);
-    play.clock.advance(801);
-    expect(play.sends).to.have.length(1);
+  // Guards against an order that is executed twice: no response came, and the
+  // call is retried, or its caller is told "not run" and retries it.
+  it("never retries an unsafe call, and does not report it as not run", () => {
+    const harness = new PlainCallsHarness();
+    const reply = harness.take(UNSAFE);
+    harness.clock.advance(801);
+    expect(harness.sends).to.have.length(1);
     expect(reply.refusal?.kind).to.equal(CallRefusalKind.TimedOut);
-    const broken = play.take(UNSAFE);
-    play.sends[1]?.options.receiver.onFailure(SendFailure.Broken, "reset");
-    expect(play.sends).to.have.length(2);
+    const broken = harness.take(UNSAFE);
+    harness.sends[1]?.options.receiver.onFailure(SendFailure.Broken, "reset");
+    expect(harness.sends).to.have.length(2);
     expect(broken.refusal?.kind).to.equal(CallRefusalKind.TargetFailed);
   });
 
-  it("sends an unsafe call on where the target has not run it", () => {
-    const play = new Play();
-    const reply = play.take(UNSAFE);
-    play.answer(0, headOf(503, true));
-    play.answer(1, headOf(200), "done");
+  it("retries an unsafe call that the target has not run", () => {
+    const harness = new PlainCallsHarness();
+    const reply = harness.take(UNSAFE);
+    harness.answer(0, headOf(503, true));
+    harness.answer(1, headOf(200), "done");
     expect(reply.text).to.equal("done");
   });
 
-  // A target has lost its power and takes no connection. Nothing was sent, so
-  // the caller need not be turned away, even where one attempt is allowed.
-  it("sends an unsafe call on where no connection could be made", () => {
-    const play = new Play();
-    const reply = play.take({ ...UNSAFE, maximumAttempts: 1 });
-    play.sends[0]?.options.receiver.onFailure(
+  // Guards against a needless refusal when a target has lost its power and
+  // accepts no connection: nothing was sent, so another one may run the call
+  // even if only one attempt is allowed.
+  it("retries an unsafe call when no connection could be made", () => {
+    const harness = new PlainCallsHarness();
+    const reply = harness.take({ ...UNSAFE, maximumAttempts: 1 });
+    harness.sends[0]?.options.receiver.onFailure(
       SendFailure.NotSent,
       "no connection",
     );
-    play.answer(1, headOf(200), "done");
+    harness.answer(1, headOf(200), "done");
     expect(reply.text).to.equal("done");
   });
 
-  it("sends an unsafe call on a connection of its own", () => {
-    const play = new Play();
-    play.take(UNSAFE);
-    play.take(SAFE);
+  it("sends an unsafe call on a new connection", () => {
+    const harness = new PlainCallsHarness();
+    harness.take(UNSAFE);
+    harness.take(SAFE);
     expect(
-      play.sends.map(({ options }) => options.onNewConnection),
+      harness.sends.map(({ options }) => options.onNewConnection),
     ).to.deep.equal([true, false]);
   });
 
-  it("asks again after a safe call's failure, and passes the last one on", () => {
-    const play = new Play();
-    const reply = play.take();
-    play.answer(0, headOf(500), "first");
-    play.answer(1, headOf(500), "second");
-    expect(play.sends).to.have.length(2);
+  it("retries a failed safe call, and passes on the last response", () => {
+    const harness = new PlainCallsHarness();
+    const reply = harness.take();
+    harness.answer(0, headOf(500), "first");
+    harness.answer(1, headOf(500), "second");
+    expect(harness.sends).to.have.length(2);
     expect(reply.head?.status).to.equal(500);
     expect(reply.text).to.equal("second");
   });
--- a/src/common/calls/plain_target_selector.ts
+++ b/src/common/calls/plain_target_selector.ts
@@ -1,47 +1,48 @@
 /**
- * Chooses among the targets of a plain service. Pattern of load: a service of
- * three targets, one of which goes silent or fails part of its calls while its
- * health is good. Without this a third of the calls wait for their deadline;
- * one would notice by an error rate near one part in the number of targets.
+ * Chooses among the targets of a plain service. If one of three targets goes
+ * silent or fails part of its calls while its health check succeeds, a third of
+ * the calls would wait for their deadline, and the error rate would be close to
+ * one over the number of targets.
  *
- * The emptiest target wins. A target that left a call without an answer, or
- * failed several in a row, is set aside for a time that doubles up to a bound
- * and is tested by the next call afterwards. One target at least stays, since
- * with all aside the cause is more likely here or on the way.
+ * The target with the lowest load is chosen. A target that left a call without
+ * a response, or failed several in a row, is ejected for a time that doubles up
+ * to a bound, and the next call afterwards tests it. If all are ejected, they
+ * stay in use, since the cause is then more likely in this process or the
+ * network.
  */
 import type { InstanceId, MonotonicTime, ZoneName } from "../types.ts";
 import type { IListedTarget, ITargetLoad } from "./types.ts";
 
-/** First time aside and the longest, milliseconds. */
-const FIRST_TIME_ASIDE = 500;
-const LONGEST_TIME_ASIDE = 4_000;
+/** First and longest time of an ejection, milliseconds. */
+const FIRST_EJECTION_TIME = 500;
+const LONGEST_EJECTION_TIME = 4_000;
 
-/** Failures in a row that a sound target of an error-prone service has. */
-const FAILURES_IN_A_ROW = 4;
+/** Consecutive failures that eject a target; healthy ones have fewer. */
+const CONSECUTIVE_FAILURES = 4;
 
 /** Share of the slots by which another zone's target must be emptier. */
 const OTHER_ZONE_HANDICAP = 0.25;
 
-/** How long a load told in an answer is worth something, milliseconds. */
+/** How long the load reported in a response is used, milliseconds. */
 const LOAD_LIFETIME = 500;
 
-interface IPlainState {
+interface IPlainTargetState {
   inFlight: number;
-  failuresInARow: number;
-  timeAside: number;
-  asideUntil: MonotonicTime;
+  consecutiveFailures: number;
+  ejectionTime: number;
+  ejectedUntil: MonotonicTime;
   load: ITargetLoad | null;
-  loadAt: MonotonicTime;
+  loadReportedAt: MonotonicTime;
 }
 
-/** What is known of the plain targets, in one process. */
+/** The load and the recent failures of the plain targets, in one process. */
 export class PlainTargetSelector {
-  readonly #states = new Map<InstanceId, IPlainState>();
+  readonly #states = new Map<InstanceId, IPlainTargetState>();
 
   /**
-   * The target to send to; null when there is none.
+   * The target to send to; null if there is none.
    *
-   * @param excluded - targets that had this call already
+   * @param excluded - targets that this call was already sent to
    */
   choose(
     targets: readonly IListedTarget[],
@@ -52,9 +53,11 @@
     },
   ): IListedTarget | null {
     const { zone, excluded, now } = options;
-    const open = targets.filter(({ id }) => !excluded.has(id));
-    const sound = open.filter(({ id }) => this.#stateOf(id).asideUntil <= now);
-    const candidates = sound.length > 0 ? sound : open;
+    const untried = targets.filter(({ id }) => !excluded.has(id));
+    const healthy = untried.filter(
+      ({ id }) => this.#stateOf(id).ejectedUntil <= now,
+    );
+    const candidates = healthy.length > 0 ? healthy : untried;
     let best: IListedTarget | null = null;
     let lowest = Number.POSITIVE_INFINITY;
     for (const target of candidates) {
@@ -72,7 +75,7 @@
     this.#stateOf(id).inFlight += 1;
   }
 
-  /** The call is over, however it ended. */
+  /** A call has ended, with or without a response. */
   recordEnd(id: InstanceId): void {
     const state = this.#stateOf(id);
     state.inFlight = Math.max(0, state.inFlight - 1);
@@ -84,30 +87,30 @@
     now: MonotonicTime,
   ): void {
     const state = this.#stateOf(id);
-    state.failuresInARow = 0;
-    state.timeAside = FIRST_TIME_ASIDE;
-    state.asideUntil = 0;
+    state.consecutiveFailures = 0;
+    state.ejectionTime = FIRST_EJECTION_TIME;
+    state.ejectedUntil = 0;
     if (load !== null) {
       state.load = load;
-      state.loadAt = now;
+      state.loadReportedAt = now;
     }
   }
 
-  /** It answered with a failure of its own, or broke off. */
+  /** The target responded with a server error or broke off. */
   recordFailure(id: InstanceId, now: MonotonicTime): void {
     const state = this.#stateOf(id);
-    state.failuresInARow += 1;
-    if (state.failuresInARow >= FAILURES_IN_A_ROW) {
-      this.#setAside(state, now);
+    state.consecutiveFailures += 1;
+    if (state.consecutiveFailures >= CONSECUTIVE_FAILURES) {
+      this.#eject(state, now);
     }
   }
 
-  /** It left a call without an answer, or could not be reached. */
+  /** The target did not respond to a call or could not be reached. */
   recordNoResponse(id: InstanceId, now: MonotonicTime): void {
-    this.#setAside(this.#stateOf(id), now);
+    this.#eject(this.#stateOf(id), now);
   }
 
-  /** Forgets targets that are listed no longer and have no calls. */
+  /** Forgets targets that are no longer listed and have no calls. */
   keepOnly(listed: ReadonlyMap<InstanceId, IListedTarget>): void {
     for (const [id, state] of this.#states) {
       if (!listed.has(id) && state.inFlight === 0) {
@@ -116,33 +119,37 @@
     }
   }
 
-  #setAside(state: IPlainState, now: MonotonicTime): void {
-    if (now < state.asideUntil) {
+  #eject(state: IPlainTargetState, now: MonotonicTime): void {
+    if (now < state.ejectedUntil) {
       return;
     }
-    state.asideUntil = now + state.timeAside;
-    state.timeAside = Math.min(LONGEST_TIME_ASIDE, state.timeAside * 2);
+    state.ejectedUntil = now + state.ejectionTime;
+    state.ejectionTime = Math.min(
+      LONGEST_EJECTION_TIME,
+      state.ejectionTime * 2,
+    );
   }
 
   #load(target: IListedTarget, now: MonotonicTime): number {
     const state = this.#stateOf(target.id);
-    const isFresh = now - state.loadAt < LOAD_LIFETIME;
-    const told = isFresh && state.load !== null ? state.load : null;
-    const elsewhere = told === null ? 0 : told.running + told.waiting;
-    const busy = Math.max(state.inFlight, elsewhere);
-    return busy / Math.max(1, target.slots);
+    const isFresh = now - state.loadReportedAt < LOAD_LIFETIME;
+    const reported = isFresh && state.load !== null ? state.load : null;
+    const reportedCalls =
+      reported === null ? 0 : reported.running + reported.waiting;
+    const calls = Math.max(state.inFlight, reportedCalls);
+    return calls / Math.max(1, target.slots);
   }
 
-  #stateOf(id: InstanceId): IPlainState {
+  #stateOf(id: InstanceId): IPlainTargetState {
     let state = this.#states.get(id);
     if (state === undefined) {
       state = {
         inFlight: 0,
-        failuresInARow: 0,
-        timeAside: FIRST_TIME_ASIDE,
-        asideUntil: 0,
+        consecutiveFailures: 0,
+        ejectionTime: FIRST_EJECTION_TIME,
+        ejectedUntil: 0,
         load: null,
-        loadAt: 0,
+        loadReportedAt: 0,
       };
       this.#states.set(id, state);
     }
--- a/src/common/calls/plain_target_selector_test.ts
+++ b/src/common/calls/plain_target_selector_test.ts
@@ -27,7 +27,7 @@
   return targets.choose(THREE, options)?.id ?? null;
 }
 
-describe("choosing among plain targets", () => {
+describe("PlainTargetSelector", () => {
   it("prefers its own zone until that target is busier", () => {
     const targets = new PlainTargetSelector();
     expect(choose(targets, 0)).to.equal("a");
@@ -36,9 +36,9 @@
     expect(choose(targets, 0)).to.equal("b");
   });
 
-  // One of three targets stops answering while its health looks good. Each
-  // call sent there waits for its deadline: a third of all that callers ask.
-  it("sets a silent target aside for longer each time", () => {
+  // Guards against a third of all calls waiting for their deadline because one
+  // of three targets stops responding while it looks healthy.
+  it("ejects a silent target for longer each time", () => {
     const targets = new PlainTargetSelector();
     targets.recordNoResponse("a", 0);
     expect(choose(targets, 400)).to.equal("b");
@@ -48,15 +48,15 @@
     expect(choose(targets, 1_700)).to.equal("a");
   });
 
-  // This process's link is down, so all targets look silent. Refusing every
-  // call then would go on after the link is back.
-  it("goes on with one of them when all are silent", () => {
+  // Guards against refusals that outlast a failure of this process's link,
+  // during which all targets look silent.
+  it("keeps using targets when all are silent", () => {
     const targets = new PlainTargetSelector();
     THREE.forEach(({ id }) => targets.recordNoResponse(id, 0));
     expect(choose(targets, 100)).to.not.equal(null);
   });
 
-  it("does not set a target aside for single failures", () => {
+  it("does not eject a target for single failures", () => {
     const targets = new PlainTargetSelector();
     for (let call = 0; call < 3; call += 1) {
       targets.recordFailure("a", 0);
@@ -66,7 +66,7 @@
     expect(choose(targets, 0)).to.equal("b");
   });
 
-  it("never chooses one that had the call", () => {
+  it("never chooses a target that had the call", () => {
     const targets = new PlainTargetSelector();
     expect(choose(targets, 0, ["a", "b", "c"])).to.equal(null);
     expect(choose(targets, 0, ["a"])).to.equal("b");
--- a/src/common/calls/retry_allowance.ts
+++ b/src/common/calls/retry_allowance.ts
@@ -1,19 +1,18 @@
 /**
- * How often a service's calls may be sent once more. Pattern of load: a domain
- * goes dark, or targets lose their answers, and each call is sent again; with
- * callers that repeat by themselves the load doubles just when there is least
- * to serve it. One would notice by targets that run mostly repeats.
+ * Limits the retries of one service. When a domain fails or targets lose their
+ * responses, each call is sent again. Together with the retries of the callers
+ * themselves, the load doubles just when there is least capacity, and the
+ * targets run mostly retries.
  *
- * The platform bounds repeats over all processes together and over every span
- * of its window: a ratio of the first sends, and some besides. Each process
- * keeps to the ratio of its own first sends and to its share of the rest, so
- * the sum holds without a word between them. First sends are counted over the
- * same span, in which they can only be fewer than the bound's own count, which
- * also takes calls that were never sent.
+ * The platform bounds the retries of all processes together in every window: a
+ * ratio of the first sends, plus a slack. Each process keeps to the ratio of
+ * its own first sends and to its share of the slack, so the total holds without
+ * coordination. The first sends counted here can only be fewer than those in
+ * the platform's count, which also includes calls that were never sent.
  */
 import type { MonotonicTime } from "../types.ts";
 
-/** The platform's bound on repeats. */
+/** The platform's bound on retries. */
 export interface IRetryBounds {
   readonly ratio: number;
   /** Milliseconds. */
@@ -21,20 +20,20 @@
   readonly slack: number;
 }
 
-/** Part of the bound that is used: sends on their way are counted late. */
-const USED_PART = 0.85;
+/** Share of the bound that is used, since sends in transit are counted late. */
+const USED_SHARE = 0.85;
 
-/** A first send or a repeat that still counts. */
-interface ISent {
+/** A first send or a retry within the window. */
+interface ISendRecord {
   readonly at: MonotonicTime;
-  readonly isRepeat: boolean;
+  readonly isRetry: boolean;
 }
 
-/** The repeats of one service in one process. */
+/** The retries of one service in one process. */
 export class RetryAllowance {
   readonly #bounds: IRetryBounds;
-  #sent: ISent[] = [];
-  #repeats = 0;
+  #sends: ISendRecord[] = [];
+  #retries = 0;
 
   constructor(bounds: IRetryBounds) {
     this.#bounds = bounds;
@@ -42,37 +41,37 @@
 
   recordFirstSend(now: MonotonicTime): void {
     this.#expire(now);
-    this.#sent.push({ at: now, isRepeat: false });
+    this.#sends.push({ at: now, isRetry: false });
   }
 
   /**
-   * Takes one repeat.
+   * Takes one retry from the allowance.
    *
-   * @param processes How many share the slack.
-   * @returns Whether it may be sent.
+   * @param processes - number of processes that share the slack
+   * @returns whether the retry may be sent
    */
   tryTake(now: MonotonicTime, processes: number): boolean {
     this.#expire(now);
-    const first = this.#sent.length - this.#repeats;
+    const first = this.#sends.length - this.#retries;
     const { ratio, slack } = this.#bounds;
     const share = slack / Math.max(1, processes);
-    if (this.#repeats + 1 > (ratio * first + share) * USED_PART) {
+    if (this.#retries + 1 > (ratio * first + share) * USED_SHARE) {
       return false;
     }
-    this.#sent.push({ at: now, isRepeat: true });
-    this.#repeats += 1;
+    this.#sends.push({ at: now, isRetry: true });
+    this.#retries += 1;
     return true;
   }
 
   #expire(now: MonotonicTime): void {
     const since = now - this.#bounds.window;
     let expired = 0;
-    while ((this.#sent[expired]?.at ?? now) < since) {
-      this.#repeats -= this.#sent[expired]?.isRepeat ? 1 : 0;
+    while ((this.#sends[expired]?.at ?? now) < since) {
+      this.#retries -= this.#sends[expired]?.isRetry ? 1 : 0;
       expired += 1;
     }
     if (expired > 0) {
-      this.#sent = this.#sent.slice(expired);
+      this.#sends = this.#sends.slice(expired);
     }
   }
 }
--- a/src/common/calls/service_retry_allowances.ts
+++ b/src/common/calls/service_retry_allowances.ts
@@ -1,20 +1,20 @@
-/** The repeats of each service, counted in one process. */
+/** The retry allowances of all services in one process. */
 import type { MonotonicTime, ServiceName } from "../types.ts";
 import { RetryAllowance } from "./retry_allowance.ts";
 import type { IRetryBounds } from "./retry_allowance.ts";
 
-/** How the bounds are shared. */
+/** How the retry bounds are shared between processes. */
 export interface IRetrySharing {
-  /** How many processes share them. */
+  /** Number of processes that share the bounds. */
   readonly processes: () => number;
-  /** When this process took another one's place; null at a first start. */
+  /** When this process replaced another; null at a first start. */
   readonly replacesAnotherSince: MonotonicTime | null;
 }
 
 /**
- * One {@link RetryAllowance} a service. A process that has just taken another
- * one's place has no share of the slack: the one before it may have used it in
- * the same window.
+ * One {@link RetryAllowance} per service. A process that has just replaced
+ * another has no share of the slack for one window, since its predecessor may
+ * have used it in the same window.
  */
 export class ServiceRetryAllowances {
   readonly #bounds: IRetryBounds;
--- a/src/common/calls/service_retry_allowances_test.ts
+++ b/src/common/calls/service_retry_allowances_test.ts
@@ -8,54 +8,56 @@
 const BOUNDS = { ratio: 0.2, window: 10_000, slack: 103 };
 /** Shorter than the time for which a larger number of processes counts. */
 const LONGEST_CUT = 10_000;
-/** A process that has just started hears of the others one by one. */
-const HEARS_ALL_AFTER = 400;
+/** Milliseconds in which a new process learns of the others one by one. */
+const KNOWS_ALL_AFTER = 400;
 
-interface ISent {
+interface ISendRecord {
   readonly at: number;
-  readonly isRepeat: boolean;
+  readonly isRetry: boolean;
 }
 
-/** Processes that start anew, are cut off from the others, and share a bound. */
+/** Processes that restart, are cut off from the others, and share a bound. */
 class Fleet {
   now = 0;
-  readonly sent: ISent[] = [];
-  /** When each took another's place; null for those of the first start. */
+  readonly sent: ISendRecord[] = [];
+  /** When each replaced another; null for those of the first start. */
   readonly #startedAt = Array.from(
     { length: PROCESSES },
     (): number | null => null,
   );
   readonly #counts = this.#startedAt.map(() => new ProcessCount());
-  readonly #books = this.#startedAt.map((_, process) => this.#book(process));
-  /** Processes that hear of one another only, until a time. */
+  readonly #allowances = this.#startedAt.map((_, process) =>
+    this.#createAllowances(process),
+  );
+  /** Processes that know only of one another, until a time. */
   #cut = { part: new Set<number>(), until: 0 };
 
   advance(milliseconds: number): void {
     this.now += milliseconds;
     this.#counts.forEach((count, process) =>
-      count.update(this.#heard(process), this.now),
+      count.update(this.#knownProcesses(process), this.now),
     );
   }
 
   firstSend(process: number): void {
-    this.#books[process]?.recordFirstSend(SERVICE, this.now);
-    this.sent.push({ at: this.now, isRepeat: false });
+    this.#allowances[process]?.recordFirstSend(SERVICE, this.now);
+    this.sent.push({ at: this.now, isRetry: false });
   }
 
-  /** Repeats as many as it may. */
-  repeat(process: number, most: number): void {
+  /** Retries as often as it may, up to a number. */
+  retry(process: number, most: number): void {
     for (let made = 0; made < most; made += 1) {
-      if (!this.#books[process]?.tryTake(SERVICE, this.now)) {
+      if (!this.#allowances[process]?.tryTake(SERVICE, this.now)) {
         return;
       }
-      this.sent.push({ at: this.now, isRepeat: true });
+      this.sent.push({ at: this.now, isRetry: true });
     }
   }
 
   restart(process: number): void {
     this.#startedAt[process] = this.now;
     this.#counts[process] = new ProcessCount();
-    this.#books[process] = this.#book(process);
+    this.#allowances[process] = this.#createAllowances(process);
   }
 
   cut(part: readonly number[], time: number): void {
@@ -64,20 +66,23 @@
     }
   }
 
-  #book(process: number): ServiceRetryAllowances {
+  #createAllowances(process: number): ServiceRetryAllowances {
     return new ServiceRetryAllowances(BOUNDS, {
       processes: () =>
-        this.#counts[process]?.update(this.#heard(process), this.now) ?? 1,
+        this.#counts[process]?.update(
+          this.#knownProcesses(process),
+          this.now,
+        ) ?? 1,
       replacesAnotherSince: this.#startedAt[process] ?? null,
     });
   }
 
-  /** How many processes one hears of, itself included. */
-  #heard(process: number): number {
+  /** Number of processes that one knows of, itself included. */
+  #knownProcesses(process: number): number {
     const startedAt = this.#startedAt[process] ?? null;
     const age = this.now - (startedAt ?? 0);
-    if (startedAt !== null && age < HEARS_ALL_AFTER) {
-      return age < HEARS_ALL_AFTER / 2 ? 0 : 1;
+    if (startedAt !== null && age < KNOWS_ALL_AFTER) {
+      return age < KNOWS_ALL_AFTER / 2 ? 0 : 1;
     }
     const { part, until } = this.#cut;
     const isInPart = part.has(process);
@@ -94,7 +99,7 @@
   { weight: 4, arbitrary: fc.record({ first: processOf }) },
   {
     weight: 6,
-    arbitrary: fc.record({ repeat: processOf, most: fc.nat({ max: 40 }) }),
+    arbitrary: fc.record({ retry: processOf, most: fc.nat({ max: 40 }) }),
   },
   { weight: 2, arbitrary: fc.record({ restart: processOf }) },
   {
@@ -106,17 +111,17 @@
   },
 );
 
-describe("the repeats of processes that come and go", () => {
-  // Guards against a half-read answer cut for want of a repeat soon after the
-  // first start, where no other process can have used the share.
-  it("are had at once by a process of the first start", () => {
+describe("retries of processes that come and go", () => {
+  // Guards against a partly read response cut off for lack of a retry soon
+  // after the first start, when no other process can have used the share.
+  it("are available at once to a process of the first start", () => {
     const sharing = { processes: () => PROCESSES, replacesAnotherSince: null };
-    const book = new ServiceRetryAllowances(BOUNDS, sharing);
-    expect(book.tryTake(SERVICE, 100)).to.equal(true);
+    const allowances = new ServiceRetryAllowances(BOUNDS, sharing);
+    expect(allowances.tryTake(SERVICE, 100)).to.equal(true);
   });
 
-  // Guards against a share of the common allowance that is taken anew by each
-  // process that starts, or whole by one that hears of no other.
+  // Guards against a share of the common allowance that each restarted process
+  // takes again, or that a process without contact to the others takes whole.
   it("stay within the bound in every window", () => {
     fc.assert(
       fc.property(fc.array(STEP, { maxLength: 200, size: "max" }), (steps) => {
@@ -127,8 +132,8 @@
             fleet.advance(step.advance);
           } else if ("first" in step) {
             fleet.firstSend(step.first);
-          } else if ("repeat" in step) {
-            fleet.repeat(step.repeat, step.most);
+          } else if ("retry" in step) {
+            fleet.retry(step.retry, step.most);
           } else if ("restart" in step) {
             fleet.restart(step.restart);
           } else {
@@ -139,9 +144,9 @@
           const inWindow = fleet.sent.filter(
             (one) => one.at <= at && one.at > at - BOUNDS.window,
           );
-          const repeats = inWindow.filter((one) => one.isRepeat).length;
-          const first = inWindow.length - repeats;
-          expect(repeats).to.be.at.most(first * BOUNDS.ratio + BOUNDS.slack);
+          const retries = inWindow.filter((one) => one.isRetry).length;
+          const first = inWindow.length - retries;
+          expect(retries).to.be.at.most(first * BOUNDS.ratio + BOUNDS.slack);
         }
       }),
       { seed: 20261203, numRuns: 400 },
