--- a/src/common/calls/active_configuration.ts
+++ b/src/common/calls/active_configuration.ts
@@ -1,22 +1,22 @@
 /**
- * The configuration in force. It never goes back to an older version, and one
- * that cannot be read leaves the last good one in force.
+ * The active configuration. It never reverts to an older version, and one that
+ * cannot be read leaves the last valid one active.
  */
 import type { Result } from "ts-results-es";
 import type { ILog } from "../services/services.ts";
 import { RouteTable } from "./route_table.ts";
 import type { IConfiguration, IEngineProfile, IServiceEntry } from "./types.ts";
 
-/** Reads a configuration object; errors are findings, a line each. */
+/** Decodes a configuration object; errors are findings, one line each. */
 export type DecodeConfiguration = (
   value: unknown,
 ) => Result<IConfiguration, readonly string[]>;
 
-/** Holds the newest good configuration. */
+/** Holds the newest valid configuration. */
 export class ActiveConfiguration {
   readonly #decode: DecodeConfiguration;
   readonly #log: ILog;
-  #table: RouteTable | null = null;
+  #routeTable: RouteTable | null = null;
 
   constructor(decode: DecodeConfiguration, log: ILog) {
     this.#decode = decode;
@@ -24,16 +24,16 @@
   }
 
   get routes(): RouteTable | null {
-    return this.#table;
+    return this.#routeTable;
   }
 
   service(name: string): IServiceEntry | null {
-    return this.#table?.configuration.services.get(name) ?? null;
+    return this.#routeTable?.configuration.services.get(name) ?? null;
   }
 
-  /** Services whose engines are arranged in groups. */
+  /** Services whose engines form replica groups. */
   get engineServices(): readonly (readonly [string, IEngineProfile])[] {
-    const services = this.#table?.configuration.services.values() ?? [];
+    const services = this.#routeTable?.configuration.services.values() ?? [];
     return [...services].flatMap(({ name, engine }) =>
       engine !== null && engine.models.length > 0
         ? [[name, engine] as const]
@@ -41,7 +41,7 @@
     );
   }
 
-  /** Returns whether another version is in force now. */
+  /** Returns whether the configuration became active. */
   update(value: unknown): boolean {
     const decoded = this.#decode(value);
     if (decoded.isErr()) {
@@ -51,11 +51,11 @@
       return false;
     }
     const { version, routes } = decoded.value;
-    const known = this.#table?.configuration.version ?? -1;
-    if (version <= known) {
+    const activeVersion = this.#routeTable?.configuration.version ?? -1;
+    if (version <= activeVersion) {
       return false;
     }
-    this.#table = new RouteTable(decoded.value);
+    this.#routeTable = new RouteTable(decoded.value);
     this.#log.info("configuration", { version, routes: routes.length });
     return true;
   }
--- a/src/common/calls/object_follower.ts
+++ b/src/common/calls/object_follower.ts
@@ -1,12 +1,13 @@
 /**
- * Follows all objects of one kind in the store: reads them once, then watches.
- * A watch that is cut, or a history that is gone, leads to a fresh read.
+ * Follows all objects of one kind in the store: lists them once, then watches.
+ * A broken watch or an expired history leads to a new list.
  *
- * Each answered watch is a call that is paid for, and each daemon watches. A
- * pause after each answer gathers the changes of a busy moment into one. While
- * another process passes on what the store tells it, this one does not ask at
- * all; it does again as soon as that word is older than the bounds for changes
- * allow, so a relay that freezes or is cut off costs a second at most.
+ * Each answered watch is a billed call, and each daemon watches. A pause after
+ * each response merges the changes of a busy moment into one. While another
+ * process relays what the store reports, this one does not query the store at
+ * all. It queries again as soon as the relayed status is older than the bounds
+ * for changes allow, so a relay that freezes or is cut off costs at most a
+ * second.
  */
 import { Backoff } from "../backoff.ts";
 import type {
@@ -21,24 +22,24 @@
 import type { MonotonicTime } from "../types.ts";
 
 /**
- * How long one watch waits, milliseconds. A connection that went silent shows
- * only when it is over, so it bounds how old a belief can be unnoticed.
+ * Duration of one watch, milliseconds. A dead connection is noticed only at its
+ * end, so it bounds how long stale objects go unnoticed.
  */
 const WATCH_TIME = 2_500;
 
 /**
- * Age from which another process's word on the store is not gone by,
- * milliseconds: half of the bounds for changes, which leaves time to ask.
+ * Age from which a relayed status is no longer used, milliseconds: half of the
+ * bounds for changes, which leaves time to query the store.
  */
 const LONGEST_RELAY_AGE = 1_000;
 
-/** How often a follower that is told by another looks whether it still is. */
-const RELAY_LOOK_PERIOD = 50;
+/** Interval of checks whether the relayed status is recent, milliseconds. */
+const RELAY_CHECK_PERIOD = 50;
 
 /** Pauses after failures, milliseconds: within the bounds for changes. */
 const BACKOFF = { shortest: 50, longest: 400 };
 
-/** What a follower needs. */
+/** Dependencies of {@link ObjectFollower}. */
 export interface IFollowerParts {
   readonly store: IObjectStore;
   readonly clock: IClock;
@@ -46,50 +47,50 @@
   readonly log: ILog;
 }
 
-/** What is followed. */
+/** What is followed, and how. */
 export interface IFollowerOptions {
   readonly kind: string;
   /** Milliseconds between an answered watch and the next. */
   readonly pause: () => number;
-  /** Milliseconds that one watch waits; {@link WATCH_TIME} where left out. */
+  /** Duration of one watch, milliseconds; {@link WATCH_TIME} by default. */
   readonly watchTime?: () => number;
   readonly onChanged: (changed: IObjectChanges) => void;
 }
 
-interface IRelayed {
+interface IRelayedStatus {
   readonly version: number;
   readonly changedVersion: number;
-  /** When it is too old to go by. */
+  /** When it is too old to be used. */
   readonly until: MonotonicTime;
 }
 
-/** Objects changed and gone. */
+/** Changed and removed objects. */
 export interface IObjectChanges {
   readonly objects: readonly IPlatformObject[];
   readonly removed: readonly string[];
-  /** The store's version at its answer. */
+  /** The store's version at its response. */
   readonly version: number;
-  /** All objects of the kind were read: those not named are gone. */
+  /** All objects of the kind were listed: any not named are gone. */
   readonly isFullList: boolean;
-  /** The store had been out of reach just before. */
+  /** The store was unreachable just before. */
   readonly isAfterOutage: boolean;
 }
 
-/** Follows one kind. */
+/** Follows the objects of one kind. */
 export class ObjectFollower {
   readonly #parts: IFollowerParts;
   readonly #options: IFollowerOptions;
   readonly #abort = new AbortController();
   readonly #backoff: Backoff;
-  /** The store's version up to which all is known; null before a list. */
+  /** Store version up to which all changes are known; null before a list. */
   #version: number | null = null;
-  /** Whether all must be read again, unless another process knows the rest. */
+  /** Whether to list again, unless another process relays the rest. */
   #mustList = true;
   #changedVersion = 0;
-  #relay: IRelayed | null = null;
-  /** Whether the relay was young enough at the last look. */
+  #relayedStatus: IRelayedStatus | null = null;
+  /** Whether the relayed status was recent enough at the last check. */
   #isRelayed = false;
-  #isKnown = false;
+  #isLoaded = false;
   #failedSince: MonotonicTime | null = null;
   #answeredAt: MonotonicTime = Number.NEGATIVE_INFINITY;
 
@@ -103,9 +104,9 @@
     void this.#run();
   }
 
-  /** Whether the objects have been read once; an outage does not undo it. */
+  /** Whether the objects have been listed once; an outage does not undo it. */
   get isLoaded(): boolean {
-    return this.#isKnown;
+    return this.#isLoaded;
   }
 
   /** When the store last answered. */
@@ -113,7 +114,7 @@
     return this.#answeredAt;
   }
 
-  /** What may be passed on to others; null before anything is known. */
+  /** The status to relay to others; null before the first list. */
   get status(): IKindStatus | null {
     return this.#version === null
       ? null
@@ -124,18 +125,18 @@
         };
   }
 
-  /** The store's version up to which all is known; 0 before. */
+  /** Store version up to which all changes are known; 0 before a list. */
   get version(): number {
     return this.#version ?? 0;
   }
 
-  /** Another process has told what the store last told it. */
+  /** Receives the store's status as another process last read it. */
   receiveRelayedStatus({ version, changedVersion, age }: IKindStatus): void {
     const until = this.#parts.clock.now() + LONGEST_RELAY_AGE - age;
-    this.#relay = { version, changedVersion, until };
+    this.#relayedStatus = { version, changedVersion, until };
   }
 
-  /** All changes up to a version were learned from another process. */
+  /** Records that another process relayed all changes up to a version. */
   advanceTo(version: number): void {
     if (this.#version !== null && version > this.#version) {
       this.#version = version;
@@ -148,34 +149,34 @@
 
   async #run(): Promise<void> {
     while (!this.#abort.signal.aborted) {
-      if (this.#isTold()) {
-        await this.#wait(RELAY_LOOK_PERIOD);
+      if (this.#isUpToDateByRelay()) {
+        await this.#wait(RELAY_CHECK_PERIOD);
       } else {
-        await this.#ask();
+        await this.#query();
       }
     }
   }
 
-  /** Whether another process's word makes asking the store needless. */
-  #isTold(): boolean {
-    const relay = this.#relay;
-    this.#noteRelay(relay !== null && this.#parts.clock.now() < relay.until);
-    const isTold =
-      relay !== null &&
+  /** Whether the relayed status makes a query of the store unnecessary. */
+  #isUpToDateByRelay(): boolean {
+    const status = this.#relayedStatus;
+    this.#setRelayed(status !== null && this.#parts.clock.now() < status.until);
+    const isUpToDate =
+      status !== null &&
       this.#isRelayed &&
       this.#version !== null &&
-      this.#version >= relay.changedVersion;
-    if (isTold) {
-      this.advanceTo(relay.version);
+      this.#version >= status.changedVersion;
+    if (isUpToDate) {
+      this.advanceTo(status.version);
       this.#mustList = false;
-      // What lapsed in an outage is kept by the process that tells of it; taken
-      // for one that has just ended, an old outage would keep what is gone.
+      // The relaying process keeps what expired in an outage. If an old outage
+      // counted as just ended here, removed entries would be kept.
       this.#failedSince = null;
     }
-    return isTold;
+    return isUpToDate;
   }
 
-  #noteRelay(isRelayed: boolean): void {
+  #setRelayed(isRelayed: boolean): void {
     if (isRelayed !== this.#isRelayed) {
       this.#isRelayed = isRelayed;
       const event = isRelayed ? "relay_heard" : "relay_lost";
@@ -183,9 +184,9 @@
     }
   }
 
-  async #ask(): Promise<void> {
-    const isWhole = this.#mustList || this.#version === null;
-    const found = isWhole ? await this.#list() : await this.#watch();
+  async #query(): Promise<void> {
+    const isFullList = this.#mustList || this.#version === null;
+    const found = isFullList ? await this.#list() : await this.#watch();
     if (this.#abort.signal.aborted) {
       return;
     }
@@ -193,14 +194,14 @@
       await this.#wait(this.#backoff.next());
       return;
     }
-    this.#take(found, isWhole);
+    this.#apply(found, isFullList);
     const changes = found.objects.length + (found.removed ?? []).length;
-    if (!isWhole && changes > 0) {
+    if (!isFullList && changes > 0) {
       await this.#wait(this.#options.pause());
     }
   }
 
-  #take(found: IWatchResult, isWhole: boolean): void {
+  #apply(found: IWatchResult, isFullList: boolean): void {
     const { log, clock } = this.#parts;
     const { kind, onChanged } = this.#options;
     const isAfterOutage = this.#failedSince !== null;
@@ -214,14 +215,14 @@
     this.#answeredAt = clock.now();
     this.#backoff.reset();
     const { objects, removed = [], version } = found;
-    // Another process has told of later versions while this answer was awaited.
+    // Another process relayed later versions while this response was awaited.
     if (version < this.version) {
       return;
     }
     this.#version = version;
     this.#mustList = false;
-    this.#isKnown = true;
-    const isChanged = isWhole || objects.length > 0 || removed.length > 0;
+    this.#isLoaded = true;
+    const isChanged = isFullList || objects.length > 0 || removed.length > 0;
     if (isChanged) {
       this.#changedVersion = version;
     }
@@ -230,7 +231,7 @@
         objects,
         removed,
         version,
-        isFullList: isWhole,
+        isFullList,
         isAfterOutage,
       });
     }
@@ -239,7 +240,7 @@
   async #list(): Promise<IWatchResult | null> {
     const found = await this.#parts.store.list(this.#options.kind);
     if (found.isErr()) {
-      this.#failed(found.error.detail);
+      this.#recordFailure(found.error.detail);
       return null;
     }
     return found.value;
@@ -256,16 +257,16 @@
     );
     if (found.isErr()) {
       if (!this.#abort.signal.aborted) {
-        this.#failed(found.error.detail);
+        this.#recordFailure(found.error.detail);
       }
-      // The history may be gone, or events lost with the connection.
+      // The history may have expired, or events were lost with the connection.
       this.#mustList = true;
       return null;
     }
     return found.value;
   }
 
-  #failed(detail: string): void {
+  #recordFailure(detail: string): void {
     if (this.#failedSince === null) {
       this.#failedSince = this.#parts.clock.now();
       this.#parts.log.warn("store_lost", { kind: this.#options.kind, detail });
--- a/src/common/calls/object_follower_test.ts
+++ b/src/common/calls/object_follower_test.ts
@@ -10,7 +10,7 @@
 
 const AWAY = { kind: CallFailureKind.Refused, detail: "away" };
 
-/** One object; answers watches at once, with nothing new. */
+/** A store with one object; answers watches at once, without changes. */
 class OneObject implements IObjectStore {
   isAway = false;
   lists = 0;
@@ -43,11 +43,11 @@
   }
 }
 
-describe("following the objects of a kind", () => {
-  // The store is away for seconds, which resets its connections. What is
-  // known of routes and targets still holds; a process that forgot it would
-  // refuse every call until the store is back.
-  it("knows what it has read also while the store is away", async () => {
+describe("ObjectFollower", () => {
+  // Guards against refusing every call during an outage of the store: its
+  // connections are reset for seconds, but the known routes and targets stay
+  // valid.
+  it("keeps what it has listed during an outage of the store", async () => {
     const store = new OneObject();
     const clock = new ManualClock();
     const changes: IObjectChanges[] = [];
--- a/src/common/calls/route_table.ts
+++ b/src/common/calls/route_table.ts
@@ -1,7 +1,7 @@
 /** Finds the route, the service and the account of a call. */
 import type { IAccount, IConfiguration, IRoute } from "./types.ts";
 
-/** The routes of one configuration, arranged for look-ups. */
+/** The routes of one configuration, indexed by host. */
 export class RouteTable {
   readonly configuration: IConfiguration;
   readonly #byHost = new Map<string, IRoute[]>();
@@ -18,28 +18,28 @@
     }
   }
 
-  /** The route with the longest prefix of a path; null when none fits. */
+  /** The route with the longest prefix of a path; null if none matches. */
   find(host: string, path: string): IRoute | null {
     const routes = this.#byHost.get(host.toLowerCase()) ?? [];
     return routes.find(({ pathPrefix }) => path.startsWith(pathPrefix)) ?? null;
   }
 
-  /** The account that holds a key; null for a key that nobody holds. */
+  /** The account with a key; null if no account has it. */
   findAccount(key: string | null): IAccount | null {
     const accounts = this.configuration.accountsByKey;
     return key === null ? null : (accounts?.get(key) ?? null);
   }
 
-  /** Whether callers of a route must show a key. */
+  /** Whether callers of a route must send a key. */
   needsKey(route: IRoute): boolean {
     return this.configuration.accountsByKey !== null && !route.isPublic;
   }
 }
 
 /**
- * The service a call goes to where a route is split between several.
+ * Picks one of a route's services by their weights.
  *
- * @param chance - in [0, 1)
+ * @param chance - random number in [0, 1)
  */
 export function chooseService(route: IRoute, chance: number): string | null {
   const total = route.shares.reduce((sum, { weight }) => sum + weight, 0);
--- a/src/common/calls/target_registry.ts
+++ b/src/common/calls/target_registry.ts
@@ -1,9 +1,9 @@
 /**
- * The platform's list of targets as this process believes it. While the store
- * is away entries lapse although their targets live; those are back within
- * some two seconds of its return. So what is missing after an outage is kept
- * for that long; otherwise an outage of the store would empty the list and
- * every call would be refused at its end.
+ * The platform's list of targets as known to this process. During an outage of
+ * the store, entries expire although their targets are alive; they return
+ * within about two seconds after the outage. So entries that are missing after
+ * an outage are kept for that long. Otherwise an outage would empty the list,
+ * and every call would be refused at its end.
  */
 import type { InstanceId, MonotonicTime, ServiceName } from "../types.ts";
 import type { ITargetChanges } from "../relay/types.ts";
@@ -11,7 +11,7 @@
 import { ListedState } from "./types.ts";
 import type { IListedTarget } from "./types.ts";
 
-/** Reads an entry; null where it names no target. */
+/** Decodes an entry; null if it is not a target. */
 export type DecodeTarget = (id: string, value: unknown) => IListedTarget | null;
 
 /** Targets by id. */
@@ -20,9 +20,9 @@
   /** Milliseconds that a missing entry is kept after an outage. */
   readonly #reappearTime: number;
   readonly #targets = new Map<InstanceId, IListedTarget>();
-  /** Missing since the store's return, and until when they are kept. */
+  /** Entries missing after an outage, and until when they are kept. */
   readonly #missing = new Map<InstanceId, MonotonicTime>();
-  #returnedAt: MonotonicTime = Number.NEGATIVE_INFINITY;
+  #storeReturnedAt: MonotonicTime = Number.NEGATIVE_INFINITY;
 
   constructor(decode: DecodeTarget, reappearTime: number) {
     this.#decode = decode;
@@ -39,7 +39,7 @@
     );
   }
 
-  /** Those of a service that may be sent new work. */
+  /** The targets of a service that accept new calls. */
   ready(service: ServiceName): readonly IListedTarget[] {
     return this.ofService(service).filter(
       ({ state }) => state === ListedState.Ready,
@@ -48,28 +48,28 @@
 
   applyStoreChanges(change: IObjectChanges, now: MonotonicTime): void {
     if (change.isAfterOutage) {
-      this.#returnedAt = now;
+      this.#storeReturnedAt = now;
     }
-    const named = new Set<InstanceId>();
+    const listed = new Set<InstanceId>();
     for (const { name, value } of change.objects) {
       const target = this.#decode(name, value);
       if (target !== null) {
-        named.add(name);
+        listed.add(name);
         this.#missing.delete(name);
         this.#targets.set(name, target);
       } else {
         this.#targets.delete(name);
       }
     }
-    const gone = change.isFullList
-      ? [...this.#targets.keys()].filter((id) => !named.has(id))
+    const removedIds = change.isFullList
+      ? [...this.#targets.keys()].filter((id) => !listed.has(id))
       : change.removed;
-    for (const id of gone) {
+    for (const id of removedIds) {
       this.#remove(id, now);
     }
   }
 
-  /** Takes changes that another process has read. */
+  /** Applies changes that another process has read from the store. */
   applyRelayedChanges(
     { targets, removed }: ITargetChanges,
     now: MonotonicTime,
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Drops what has not come back; returns whether anything was dropped. */
+  /** Drops entries that have not returned; returns whether any was dropped. */
   removeExpired(now: MonotonicTime): boolean {
     let isChanged = false;
     for (const [id, until] of this.#missing) {
@@ -96,7 +96,7 @@
   }
 
   #remove(id: InstanceId, now: MonotonicTime): void {
-    const until = this.#returnedAt + this.#reappearTime;
+    const until = this.#storeReturnedAt + this.#reappearTime;
     if (now < until) {
       this.#missing.set(id, until);
     } else {
--- a/src/common/calls/target_registry_test.ts
+++ b/src/common/calls/target_registry_test.ts
@@ -37,58 +37,57 @@
   return { kind: "targets", name, version: 1, value };
 }
 
-function bookOf(...names: readonly string[]): TargetRegistry {
-  const book = new TargetRegistry(decode, REAPPEAR_TIME);
+function registryOf(...names: readonly string[]): TargetRegistry {
+  const registry = new TargetRegistry(decode, REAPPEAR_TIME);
   const objects = names.map((name) => entry(name, "10.0.0.1:80"));
-  book.applyStoreChanges(change({ objects, isFullList: true }), 0);
-  return book;
+  registry.applyStoreChanges(change({ objects, isFullList: true }), 0);
+  return registry;
 }
 
-describe("the list of targets", () => {
+describe("TargetRegistry", () => {
   it("drops a removed target at once", () => {
-    const book = bookOf("a", "b");
-    book.applyStoreChanges(change({ removed: ["a"] }), 10_000);
-    expect([...book.all.keys()]).to.deep.equal(["b"]);
+    const registry = registryOf("a", "b");
+    registry.applyStoreChanges(change({ removed: ["a"] }), 10_000);
+    expect([...registry.all.keys()]).to.deep.equal(["b"]);
   });
 
-  // The store is away for some seconds, in which the targets cannot renew
-  // their entries. They live on, and their entries are back two seconds after
-  // the store is; until then the list is short or empty, and a process that
-  // took it at its word would refuse every call.
-  it("keeps what is missing after an outage until it had time to return", () => {
-    const book = bookOf("a", "b");
+  // Guards against refusing every call after an outage of the store: the
+  // targets are alive but could not renew their entries, so the list is short
+  // or empty until two seconds after the store's return.
+  it("keeps entries missing after an outage until they had time to return", () => {
+    const registry = registryOf("a", "b");
     const objects = [entry("b", "10.0.0.1:80")];
     const whole = { objects, isFullList: true, isAfterOutage: true };
-    book.applyStoreChanges(change(whole), 10_000);
-    expect([...book.all.keys()]).to.deep.equal(["a", "b"]);
-    book.removeExpired(10_000 + REAPPEAR_TIME - 1);
-    expect([...book.all.keys()]).to.deep.equal(["a", "b"]);
-    expect(book.removeExpired(10_000 + REAPPEAR_TIME)).to.equal(true);
-    expect([...book.all.keys()]).to.deep.equal(["b"]);
+    registry.applyStoreChanges(change(whole), 10_000);
+    expect([...registry.all.keys()]).to.deep.equal(["a", "b"]);
+    registry.removeExpired(10_000 + REAPPEAR_TIME - 1);
+    expect([...registry.all.keys()]).to.deep.equal(["a", "b"]);
+    expect(registry.removeExpired(10_000 + REAPPEAR_TIME)).to.equal(true);
+    expect([...registry.all.keys()]).to.deep.equal(["b"]);
   });
 
-  it("keeps one that is back by then", () => {
-    const book = bookOf("a");
-    book.applyStoreChanges(
+  it("keeps an entry that has returned by then", () => {
+    const registry = registryOf("a");
+    registry.applyStoreChanges(
       change({ isFullList: true, isAfterOutage: true }),
       10_000,
     );
-    book.applyStoreChanges(
+    registry.applyStoreChanges(
       change({ objects: [entry("a", "10.0.0.2:80")] }),
       11_000,
     );
-    expect(book.removeExpired(20_000)).to.equal(false);
-    expect(book.all.get("a")?.address).to.equal("10.0.0.2:80");
+    expect(registry.removeExpired(20_000)).to.equal(false);
+    expect(registry.all.get("a")?.address).to.equal("10.0.0.2:80");
   });
 
-  // Somebody writes an entry by hand, and it cannot be read. It names no
-  // target to use; the others must not suffer for it.
-  it("takes an unreadable entry for no target", () => {
-    const book = bookOf("a", "b");
-    book.applyStoreChanges(
+  // Guards against losing other targets to an unreadable entry, such as one
+  // written by hand.
+  it("drops the target of an unreadable entry", () => {
+    const registry = registryOf("a", "b");
+    registry.applyStoreChanges(
       change({ objects: [entry("a", { address: 7 })] }),
       10_000,
     );
-    expect([...book.all.keys()]).to.deep.equal(["b"]);
+    expect([...registry.all.keys()]).to.deep.equal(["b"]);
   });
 });
--- a/src/common/calls/types.ts
+++ b/src/common/calls/types.ts
@@ -1,7 +1,6 @@
 /**
- * The vocabulary of the request path: calls, answers, routes and targets.
- * Times are milliseconds on the process's monotonic clock unless a name says
- * otherwise.
+ * Types of the request path: calls, responses, routes and targets. Times are
+ * milliseconds on the process's monotonic clock unless a name says otherwise.
  */
 import type {
   AccountName,
@@ -13,52 +12,52 @@
   ZoneName,
 } from "../types.ts";
 
-/** What may be done twice with a call. */
+/** Whether a call may run more than once. */
 export enum CallKind {
   /** May run more than once. */
   Safe = "safe",
   /** Runs at most once for each attempt of the caller. */
   Unsafe = "unsafe",
-  /** Answered by events; see {@link IRoute.isResumable} for repeating it. */
+  /** Answered by events; {@link IRoute.isResumable} decides on retries. */
   Stream = "stream",
 }
 
-/** A service that a route leads to, and its share of the calls. */
+/** A service of a route, and its share of the calls. */
 export interface IRouteShare {
   readonly service: ServiceName;
   readonly weight: number;
 }
 
-/** One route of the configuration in force. */
+/** A route of the active configuration. */
 export interface IRoute {
   readonly name: string;
   readonly host: string;
   /** Begins and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: CallKind;
-  /** Longest time a caller is kept waiting. */
+  /** Longest time that a caller is kept waiting. */
   readonly timeout: number;
-  /** Time within which an answer is on time. */
+  /** Time within which a response is on time. */
   readonly objective: number;
   /** 0 is the most urgent. */
   readonly priority: number;
   readonly shares: readonly IRouteShare[];
-  /** Most targets that one attempt may be sent to. */
+  /** Maximum number of targets that one attempt may be sent to. */
   readonly maximumAttempts: number;
   /** Whether it is open to callers without a key. */
   readonly isPublic: boolean;
-  /** Whether a stream may go on at another target. */
+  /** Whether another target may continue a stream. */
   readonly isResumable: boolean;
   /** Longest pause between two events of a stream that is on time; 0: none. */
   readonly longestPause: number;
-  /** Longest silence that a caller sits out; it leaves after it. */
+  /** Longest silence that a caller waits through before it leaves. */
   readonly patience: number;
 }
 
-/** A client account as the configuration names it. */
+/** A client account of the configuration. */
 export interface IAccount {
   readonly name: AccountName;
-  /** Takes precedence over the route's; null where the account has none. */
+  /** Overrides the route's priority; null if the account has none. */
   readonly priority: number | null;
 }
 
@@ -67,7 +66,7 @@
   readonly name: string;
   /** Members of one group. */
   readonly size: number;
-  /** Share of the service's work at the start, 0 to 1. */
+  /** Initial share of the service's work, 0 to 1. */
   readonly share: number;
   /** Factor on all times of a group. */
   readonly pace: number;
@@ -77,24 +76,24 @@
   readonly warmTime: number;
 }
 
-/** How the engines of a service run; figures published with the service. */
+/** Performance figures of a service's engines, published with the service. */
 export interface IEngineProfile {
   readonly models: readonly IModel[];
   /** Requests that a group runs at once. */
   readonly slots: number;
-  /** Tokens that a group's memory holds. */
+  /** Tokens that the memory of a group holds. */
   readonly memoryTokens: number;
   /** Milliseconds of one token step of an empty batch. */
   readonly stepTime: number;
-  /** Milliseconds added to a step for each request that is writing. */
+  /** Milliseconds added to a step for each request in decoding. */
   readonly stepTimePerRequest: number;
   /** Milliseconds added for each 1,000 tokens of context. */
   readonly stepTimePerThousandTokens: number;
-  /** Prompt tokens read in a millisecond. */
+  /** Prompt tokens prefilled in a millisecond. */
   readonly promptTokensPerMillisecond: number;
-  /** Milliseconds a million pairs of prompt tokens add to the reading. */
+  /** Milliseconds that a million pairs of prompt tokens add to prefill. */
   readonly timePerMillionPairs: number;
-  /** Most prompt tokens read between two steps. */
+  /** Maximum number of prompt tokens prefilled between two steps. */
   readonly chunk: number;
   /** Token steps in one event. */
   readonly stride: number;
@@ -115,7 +114,7 @@
   readonly engine: IEngineProfile | null;
 }
 
-/** What callers may send. */
+/** Limits on what callers send. */
 export interface ICallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -123,23 +122,23 @@
   readonly idleTimeout: number;
 }
 
-/** The whole configuration of one version. */
+/** One version of the configuration. */
 export interface IConfiguration {
   readonly version: number;
   readonly routes: readonly IRoute[];
   readonly services: ReadonlyMap<ServiceName, IServiceEntry>;
   readonly limits: ICallerLimits;
-  /** By key; null where the configuration has no accounts at all. */
+  /** By key; null if the configuration has no accounts at all. */
   readonly accountsByKey: ReadonlyMap<string, IAccount> | null;
 }
 
-/** The platform's word on whether a target takes work. */
+/** Whether a target accepts work, according to the platform. */
 export enum ListedState {
   Ready = "ready",
   Draining = "draining",
 }
 
-/** What a group's member is doing; the engine's own word. */
+/** State of a group's member, as reported by its engine. */
 export enum MemberState {
   Joining = "joining",
   Ready = "ready",
@@ -148,30 +147,30 @@
   Broken = "broken",
 }
 
-/** The group that an engine says it is in. */
+/** The group that an engine reports to be in. */
 export interface IMembership {
   readonly group: string;
   readonly epoch: number;
-  /** 0 is the head, which takes the requests. */
+  /** 0 is the head, which receives the requests. */
   readonly rank: number;
   readonly state: MemberState;
 }
 
-/** What an engine says of itself, in the list or in a report. */
+/** What an engine reports about itself, in the list or in a report. */
 export interface IEngineState {
   /** Models whose weights are on the host. */
   readonly staged: readonly string[];
   /** The model that its group serves; null without one. */
   readonly model: string | null;
   readonly membership: IMembership | null;
-  /** Fabric domain; empty where it is not told. */
+  /** Fabric domain; empty if it is not reported. */
   readonly domain: DomainName;
 }
 
 /** One entry of the platform's list of targets. */
 export interface IListedTarget {
   readonly id: InstanceId;
-  /** Calendar milliseconds of its start; tells a restart under the same id. */
+  /** Start in calendar milliseconds; changes on a restart under the same id. */
   readonly startedAt: number;
   readonly service: ServiceName;
   /** `host:port`. */
@@ -187,7 +186,7 @@
   readonly method: string;
   /** Path and query as received. */
   readonly requestTarget: string;
-  /** Names and values by turns, without those that the path sets itself. */
+  /** Alternating names and values, without those that the path sets itself. */
   readonly headers: readonly string[];
   readonly body: Uint8Array;
 }
@@ -195,7 +194,7 @@
 /** Estimated work of a model call, in tokens. */
 export interface ITokenEstimate {
   readonly prompt: number;
-  /** The most that may be generated. */
+  /** Maximum number of tokens that may be generated. */
   readonly output: number;
 }
 
@@ -211,42 +210,42 @@
   readonly model: string | null;
   readonly tokens: ITokenEstimate;
   readonly arrivedAt: MonotonicTime;
-  /** When the caller no longer waits, or may no longer be kept waiting. */
+  /** When the caller stops waiting or must no longer be kept waiting. */
   readonly deadline: MonotonicTime;
-  /** The last event that the caller has; null for a new stream. */
+  /** Id of the last event that the caller has; null for a new stream. */
   readonly lastEventId: string | null;
   readonly message: IOpaqueMessage;
 }
 
-/** Status and headers of a target's answer. */
+/** Status and headers of a target's response. */
 export interface IResponseHead {
   readonly status: number;
-  /** Names and values by turns, fit to be passed on. */
+  /** Alternating names and values, ready to be passed on. */
   readonly headers: readonly string[];
-  /** The target said that it has not run the call and will not. */
+  /** The target reported that it has not run the call and will not. */
   readonly isNotRun: boolean;
-  /** The answer names another request: it is not ours. */
+  /** The response names another request and must not be used. */
   readonly isForOtherRequest: boolean;
-  /** Requests running and waiting, and slots, where the target tells them. */
+  /** Requests running and waiting, and slots; null if not reported. */
   readonly load: ITargetLoad | null;
 }
 
-/** A plain target's load as told in its answers. */
+/** A plain target's load as reported in its responses. */
 export interface ITargetLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
 }
 
-/** Why a send ended without a whole answer. */
+/** Why a send ended without a complete response. */
 export enum SendFailure {
   /** Nothing was written to the target: it cannot have run. */
   NotSent = "not_sent",
-  /** The connection broke, or its bytes were no answer. */
+  /** The connection broke, or its bytes were not a valid response. */
   Broken = "broken",
 }
 
-/** Receives one answer. Exactly one of `ended` and `failed` comes last. */
+/** Receives one response. The last call is either `onEnd` or `onFailure`. */
 export interface IResponseReceiver {
   onHead(head: IResponseHead): void;
   onData(bytes: Uint8Array): void;
@@ -254,9 +253,9 @@
   onFailure(failure: SendFailure, detail: string): void;
 }
 
-/** A call on its way to one target. */
+/** A call that is being sent to one target. */
 export interface ISendHandle {
-  /** Gives it up; the receiver hears nothing more. */
+  /** Aborts the send; the receiver is not called again. */
   abort(): void;
 }
 
@@ -268,11 +267,11 @@
 
 /** How a call is sent. */
 export interface ISendOptions {
-  /** Milliseconds that are left to the target. */
+  /** Milliseconds left to the target. */
   readonly timeLeft: number;
-  /** The last event that the caller has; null from the start. */
+  /** Id of the last event that the caller has; null from the start. */
   readonly lastEventId: string | null;
-  /** A connection of its own, since a kept one may have gone silent. */
+  /** Whether to open a connection, since a pooled one may have gone dead. */
   readonly onNewConnection: boolean;
 }
 
@@ -285,17 +284,17 @@
   ): ISendHandle;
 }
 
-/** Why a call ended without a target's answer. */
+/** How a call ended without a target's response. */
 export enum CallRefusalKind {
-  /** It has not run and will not; the caller may come back. */
+  /** It has not run and will not; the caller may retry. */
   NotRun = "not_run",
   /** It may have run; a target broke off. */
   TargetFailed = "target_failed",
-  /** It may have run; the time is over. */
+  /** It may have run; its time is over. */
   TimedOut = "timed_out",
 }
 
-/** The reason of a call's end, as logged and counted. */
+/** The reason of a refusal, as logged and counted. */
 export enum CallRefusalReason {
   Starting = "starting",
   Stopping = "stopping",
@@ -309,11 +308,11 @@
   DeadlinePassed = "deadline_passed",
 }
 
-/** The final word on a call without a target's answer. */
+/** The result of a call without a target's response. */
 export interface ICallRefusal {
   readonly kind: CallRefusalKind;
   readonly reason: CallRefusalReason;
-  /** Milliseconds after which to come back; 0 at once. */
+  /** Milliseconds after which the caller may retry; 0 at once. */
   readonly retryAfter: number;
 }
 
@@ -321,13 +320,17 @@
 export interface ICallReply {
   /** Whether the head has been passed on. */
   readonly isStarted: boolean;
-  /** Passes on a head. @param length - bytes of the body; null: a stream. */
+  /**
+   * Passes on a head.
+   *
+   * @param length - bytes of the body; null for a stream
+   */
   start(head: IResponseHead, length: number | null): void;
   write(bytes: Uint8Array): void;
-  /** The answer is whole. */
+  /** Completes the response. */
   end(): void;
-  /** Ends a call that has no answer; nothing may have begun. */
+  /** Ends a call that has no response; nothing may have been passed on. */
   refuse(refusal: ICallRefusal): void;
-  /** Resets the connection, since a begun answer cannot be completed. */
+  /** Resets the connection, since a started response cannot be completed. */
   reset(): void;
 }
