--- a/src/common/relay/store_relay.ts
+++ b/src/common/relay/store_relay.ts
@@ -1,12 +1,12 @@
 /**
- * One process's part in passing on what the store says: as the lease holder it
- * tells the others, else it hears of it.
+ * One process's part in distributing store updates: the lease holder sends
+ * them, and other processes receive them.
  *
- * Pattern of load: each process watches the configuration and the target list
- * for itself, and the store's calls, each of them paid for, grow with the number
- * of processes; one would notice by calls by the thousand on a calm day. With a
- * relay they grow with the changes. Only the holder asks all the time; the
- * others ask when it is silent, or when its word is too old.
+ * If each process watched the configuration and the target list itself, the
+ * calls to the store, each of which is charged, would grow with the number of
+ * processes, to thousands on a calm day. With a relay they grow with the
+ * changes. Only the holder asks all the time; the others ask when it is silent,
+ * or when its update is too old.
  */
 import type { ObjectFollower } from "../calls/object_follower.ts";
 import type { IObjectChanges } from "../calls/object_follower.ts";
@@ -15,26 +15,26 @@
 import { TargetChangeLog } from "./target_change_log.ts";
 import type { IStoreVersions, IStoreUpdate } from "./types.ts";
 
-/** What the relay stands between. */
+/** Dependencies of {@link StoreRelay}. */
 export interface IStoreRelayParts {
   readonly configuration: ObjectFollower;
   readonly targetList: ObjectFollower;
   readonly targets: TargetRegistry;
   readonly clock: IClock;
-  /** The holder told of changes. */
+  /** Called when the holder has sent target changes. */
   readonly onTargetsUpdated: () => void;
 }
 
-/** Tells and hears. */
+/** Sends and receives store updates. */
 export class StoreRelay {
   readonly #parts: IStoreRelayParts;
-  readonly #log = new TargetChangeLog();
+  readonly #changeLog = new TargetChangeLog();
 
   constructor(parts: IStoreRelayParts) {
     this.#parts = parts;
   }
 
-  /** What this process has of the store. */
+  /** The store versions that this process has. */
   get versions(): IStoreVersions {
     const { configuration, targetList } = this.#parts;
     return {
@@ -43,7 +43,9 @@
     };
   }
 
-  /** The store itself told of changes, which the book has taken. */
+  /**
+   * Records changes read from the store itself, which the registry has applied.
+   */
   recordTargetChanges({
     objects,
     removed,
@@ -51,18 +53,19 @@
     version,
   }: IObjectChanges) {
     const ids = [...objects.map(({ name }) => name), ...removed];
-    this.#log.record({
+    this.#changeLog.record({
       version,
-      isWhole: isFullList,
+      isFullList,
       ids,
       all: this.#parts.targets.all,
     });
   }
 
   /**
-   * What is known here beyond what a process has; null before all is known.
+   * Returns what this process knows beyond what another has; null before all is
+   * known.
    *
-   * @param versions - what the process has
+   * @param versions - what the other process has
    */
   updateFor(versions: IStoreVersions): IStoreUpdate | null {
     const configuration = this.#parts.configuration.status;
@@ -70,20 +73,23 @@
     if (configuration === null || targets === null) {
       return null;
     }
-    const { changedVersion } = this.#log;
+    const { changedVersion } = this.#changeLog;
     return {
       configuration,
       targets: { ...targets, changedVersion },
-      targetChanges: this.#log.changesSince(versions.targets),
+      targetChanges: this.#changeLog.changesSince(versions.targets),
     };
   }
 
-  /** The holder's word, with the changes since what this process named. */
+  /**
+   * Applies the holder's update, with the changes since the versions that this
+   * process reported.
+   */
   applyUpdate({ configuration, targets, targetChanges }: IStoreUpdate): void {
     const { targetList, clock } = this.#parts;
     this.#parts.configuration.receiveRelayedStatus(configuration);
-    const isNews = targets.version > targetList.version;
-    if (targetChanges !== null && isNews && targetList.isLoaded) {
+    const isNewer = targets.version > targetList.version;
+    if (targetChanges !== null && isNewer && targetList.isLoaded) {
       const { version } = targets;
       this.#parts.targets.applyRelayedChanges(targetChanges, clock.now());
       const ids = [
@@ -91,7 +97,7 @@
         ...targetChanges.removed,
       ];
       const { all } = this.#parts.targets;
-      this.#log.record({ version, isWhole: false, ids, all });
+      this.#changeLog.record({ version, isFullList: false, ids, all });
       targetList.advanceTo(version);
       if (ids.length > 0) {
         this.#parts.onTargetsUpdated();
--- a/src/common/relay/store_relay_test.ts
+++ b/src/common/relay/store_relay_test.ts
@@ -18,13 +18,15 @@
 const SEED = 20261203;
 const TARGETS = "targets";
 
-/** Milliseconds within which a change must be known to who reaches the store. */
+/**
+ * Milliseconds within which processes that reach the store must know a change.
+ */
 const CHANGE_BOUND = 2_000;
 
-/** A step of the trials, milliseconds. */
+/** Step of simulated time, milliseconds. */
 const STEP = 50;
 
-/** Objects with their history, as the platform's store keeps them. */
+/** Objects with their history, like the platform's store. */
 class HistoryStore {
   version = 1;
   readonly #objects = new Map<string, number>();
@@ -47,7 +49,7 @@
     return [...this.#objects.keys()].sort();
   }
 
-  /** Of a kind that nobody writes. */
+  /** Result for a kind that is never written. */
   get nothing(): IWatchResult {
     return { version: this.version, objects: [], removed: [] };
   }
@@ -75,7 +77,7 @@
   return { kind, name, version, value: { version } };
 }
 
-/** One process's way to the store; counts what it asks. */
+/** One process's connection to the store; counts its calls. */
 class Link implements IObjectStore {
   isCut = false;
   calls = 0;
@@ -95,7 +97,7 @@
     return Ok(kind === TARGETS ? this.#store.list(kind) : this.#store.nothing);
   }
 
-  /** Waits for news in steps; one that is cut meanwhile is never answered. */
+  /** Waits for changes in steps; a watch that is cut meanwhile fails. */
   async watch(
     kind: string,
     after: number,
@@ -105,8 +107,8 @@
     let wasCut = this.isCut;
     for (let waited = 0; waited < timeout; waited += STEP) {
       wasCut ||= this.isCut;
-      const isNews = kind === TARGETS && this.#store.version > after;
-      if (!wasCut && isNews) {
+      const isChanged = kind === TARGETS && this.#store.version > after;
+      if (!wasCut && isChanged) {
         break;
       }
       await new Promise<void>((resolve) => {
@@ -133,12 +135,12 @@
   }
 }
 
-/** The part of a process that knows the store. */
+/** The part of a process that follows the store. */
 class Process {
   readonly link: Link;
   readonly relay: StoreRelay;
-  readonly book = new TargetRegistry((id) => listedEngine(id), 0);
-  /** Answers of the store that were the first after an outage. */
+  readonly registry = new TargetRegistry((id) => listedEngine(id), 0);
+  /** Number of answers that were the first after an outage. */
   outages = 0;
   readonly #followers: readonly ObjectFollower[];
 
@@ -168,7 +170,7 @@
         watchTime,
         onChanged: (change) => {
           this.outages += change.isAfterOutage ? 1 : 0;
-          this.book.applyStoreChanges(change, clock.now());
+          this.registry.applyStoreChanges(change, clock.now());
           this.relay.recordTargetChanges(change);
         },
       },
@@ -176,7 +178,7 @@
     this.relay = new StoreRelay({
       configuration,
       targetList,
-      targets: this.book,
+      targets: this.registry,
       clock,
       onTargetsUpdated: () => undefined,
     });
@@ -185,7 +187,7 @@
   }
 
   get names(): readonly string[] {
-    return [...this.book.all.keys()].sort();
+    return [...this.registry.all.keys()].sort();
   }
 
   dispose(): void {
@@ -193,15 +195,15 @@
   }
 }
 
-/** Some processes of which one passes on what it knows. */
+/** Several processes, one of which relays store updates. */
 class Deployment {
   readonly store = new HistoryStore();
   readonly clock = new ManualClock();
   readonly processes: readonly Process[];
   holder = 0;
-  /** Processes that neither tell nor hear. */
+  /** Processes that neither send nor receive updates. */
   readonly mute = new Set<number>();
-  #word: { readonly to: number; readonly word: IStoreUpdate }[] = [];
+  #pending: { readonly to: number; readonly update: IStoreUpdate }[] = [];
 
   constructor(count: number) {
     this.processes = Array.from(
@@ -214,7 +216,7 @@
     );
   }
 
-  /** Time passes; words that were sent arrive a step later. */
+  /** Advances time; sent updates arrive one step later. */
   async advance(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += STEP) {
       this.clock.advance(STEP);
@@ -226,18 +228,18 @@
   }
 
   #exchange(): void {
-    for (const { to, word } of this.#word) {
-      this.processes[to]?.relay.applyUpdate(word);
+    for (const { to, update } of this.#pending) {
+      this.processes[to]?.relay.applyUpdate(update);
     }
-    this.#word = [];
+    this.#pending = [];
     const holder = this.processes[this.holder];
     if (holder === undefined || this.mute.has(this.holder)) {
       return;
     }
     this.processes.forEach((process, to) => {
-      const word = holder.relay.updateFor(process.relay.versions);
-      if (to !== this.holder && !this.mute.has(to) && word !== null) {
-        this.#word.push({ to, word });
+      const update = holder.relay.updateFor(process.relay.versions);
+      if (to !== this.holder && !this.mute.has(to) && update !== null) {
+        this.#pending.push({ to, update });
       }
     });
   }
@@ -247,10 +249,10 @@
   }
 }
 
-describe("passing on what the store says", () => {
-  // Ten processes on a calm day, with a target that writes its heartbeat. Each
-  // watching for itself, their calls to the store would grow with them.
-  it("leaves the asking to one process", async () => {
+describe("StoreRelay", () => {
+  // Guards against store calls that grow with the number of processes: ten
+  // processes, and one target that writes heartbeats.
+  it("lets only one process ask the store", async () => {
     const deployment = new Deployment(10);
     const { store, processes } = deployment;
     store.put("a");
@@ -269,7 +271,7 @@
     deployment.dispose();
   });
 
-  it("brings changes to all", async () => {
+  it("distributes changes to all processes", async () => {
     const deployment = new Deployment(3);
     deployment.store.put("a");
     await deployment.advance(3_000);
@@ -282,11 +284,10 @@
     deployment.dispose();
   });
 
-  // The holder freezes, or loses its way to the store, while a target leaves.
-  // A process that went on by its word would send calls to the target for as
-  // long as that lasts.
+  // Guards against calls sent to a target that has left, while the holder is
+  // frozen or cut off from the store and the others use its update.
   for (const trouble of ["frozen", "cut off"]) {
-    it(`asks for itself when the holder is ${trouble}`, async () => {
+    it(`asks the store when the holder is ${trouble}`, async () => {
       const deployment = new Deployment(3);
       const { store, processes } = deployment;
       store.put("a");
@@ -305,10 +306,10 @@
     });
   }
 
-  // A process loses its way to the store for a while and goes by the holder's
-  // word meanwhile. Much later it asks by itself again; were its outage taken
-  // for one that has just ended, it would keep targets that have left.
-  it("does not take an old outage for a new one", async () => {
+  // Guards against keeping targets that have left: a process is cut off from
+  // the store for a while and uses the holder's updates; much later it asks the
+  // store again, and must not treat its old outage as one that has just ended.
+  it("does not treat an old outage as a new one", async () => {
     const deployment = new Deployment(2);
     const { store, processes, mute } = deployment;
     const [, other] = processes;
@@ -334,8 +335,8 @@
     deployment.dispose();
   });
 
-  // Cuts, freezes and changes of the holder come in any order, some together.
-  it("lets none who reaches the store miss a change for long", async () => {
+  // Cuts, freezes and changes of the holder come in any order, also together.
+  it("brings each change in time to processes that reach the store", async () => {
     const step = fc.oneof(
       fc.record({ kind: fc.constant("put"), at: fc.nat(4) }),
       fc.record({ kind: fc.constant("remove"), at: fc.nat(4) }),
--- a/src/common/relay/target_change_log.ts
+++ b/src/common/relay/target_change_log.ts
@@ -1,17 +1,17 @@
 /**
- * The changes of the target list that matter, by the store's version, so that
- * processes that have an older list can be told the difference.
+ * Logs the relevant changes of the target list by store version, so that
+ * processes with an older list can be sent the difference.
  *
- * Pattern of load: targets write to the list with each heartbeat, and each
- * process that watches it is answered at once, each time. The calls grow with
- * processes times targets, though hardly any of them says anything new. So what
- * decodes to the same target is no change here.
+ * Targets write to the list with each heartbeat, and each process that watches
+ * it is answered at once, each time. These calls grow with processes times
+ * targets, although hardly any of them has new content. So a target that
+ * decodes to the same value counts as unchanged here.
  */
 import type { IListedTarget } from "../calls/types.ts";
 import type { InstanceId } from "../types.ts";
 import type { ITargetChanges } from "./types.ts";
 
-/** Changes kept: far more than come in a relay's longest gap. */
+/** Number of changes kept: far more than occur in a relay's longest gap. */
 const MAX_ENTRIES = 2_000;
 
 interface IEntry {
@@ -19,24 +19,26 @@
   readonly id: InstanceId;
 }
 
-/** What became known with one answer. */
+/** Content of one answer of the store. */
 export interface IRecordedChange {
   readonly version: number;
-  /** Whether the list was read whole: nothing is known of the time before. */
-  readonly isWhole: boolean;
-  /** The targets that the answer names, gone ones included. */
+  /** Whether the whole list was read: earlier changes are unknown. */
+  readonly isFullList: boolean;
+  /** The targets that the answer names, including removed ones. */
   readonly ids: Iterable<InstanceId>;
-  /** All targets, the changes included. */
+  /** All targets, with the changes applied. */
   readonly all: ReadonlyMap<InstanceId, IListedTarget>;
 }
 
-/** The log of one process. */
+/** Target changes known to one process. */
 export class TargetChangeLog {
   #entries: readonly IEntry[] = [];
-  /** What each target was when it last changed. */
-  readonly #known = new Map<InstanceId, string>();
+  /** Content of each target when it last changed. */
+  readonly #contents = new Map<InstanceId, string>();
   #all: ReadonlyMap<InstanceId, IListedTarget> = new Map();
-  /** Changes after this version are all here; null before a whole list. */
+  /**
+   * All changes after this version are kept; null before a whole list was read.
+   */
   #start: number | null = null;
   #changedVersion = 0;
 
@@ -45,23 +47,23 @@
     return this.#changedVersion;
   }
 
-  record({ version, isWhole, ids, all }: IRecordedChange): void {
+  record({ version, isFullList, ids, all }: IRecordedChange): void {
     this.#all = all;
-    if (isWhole) {
+    if (isFullList) {
       this.#entries = [];
       this.#start = version;
-      this.#known.clear();
+      this.#contents.clear();
     }
     const changed = [...ids].filter((id) => this.#isChanged(id));
-    if (isWhole || changed.length > 0) {
+    if (isFullList || changed.length > 0) {
       this.#changedVersion = version;
     }
-    if (!isWhole) {
-      this.#add(changed.map((id) => ({ version, id })));
+    if (!isFullList) {
+      this.#append(changed.map((id) => ({ version, id })));
     }
   }
 
-  /** The changes after a version; null where they are not all known. */
+  /** Returns the changes after a version; null if they are not all known. */
   changesSince(version: number): ITargetChanges | null {
     if (this.#start === null || version < this.#start) {
       return null;
@@ -83,17 +85,17 @@
 
   #isChanged(id: InstanceId): boolean {
     const target = this.#all.get(id);
-    const now = target === undefined ? "" : JSON.stringify(target);
-    const before = this.#known.get(id) ?? "";
-    if (now === "") {
-      this.#known.delete(id);
+    const current = target === undefined ? "" : JSON.stringify(target);
+    const previous = this.#contents.get(id) ?? "";
+    if (current === "") {
+      this.#contents.delete(id);
     } else {
-      this.#known.set(id, now);
+      this.#contents.set(id, current);
     }
-    return now !== before;
+    return current !== previous;
   }
 
-  #add(entries: readonly IEntry[]): void {
+  #append(entries: readonly IEntry[]): void {
     const all = [...this.#entries, ...entries];
     const surplus = all.length - MAX_ENTRIES;
     this.#start = all[surplus - 1]?.version ?? this.#start;
--- a/src/common/relay/target_change_log_test.ts
+++ b/src/common/relay/target_change_log_test.ts
@@ -3,40 +3,45 @@
 import type { IListedTarget } from "../calls/types.ts";
 import { TargetChangeLog } from "./target_change_log.ts";
 
-/** A list that is changed and noted step by step. */
-class NotedList {
+/** A target list whose changes are recorded step by step. */
+class RecordedList {
   readonly log = new TargetChangeLog();
   readonly #all = new Map<string, IListedTarget>();
   #version = 0;
 
-  whole(...ids: readonly string[]): void {
+  replaceAll(...ids: readonly string[]): void {
     this.#all.clear();
     ids.forEach((id) => this.#all.set(id, listedEngine(id)));
-    this.#note(ids, true);
+    this.#record(ids, true);
   }
 
   set(id: string, part: Partial<IListedTarget> = {}): void {
     this.#all.set(id, { ...listedEngine(id), ...part });
-    this.#note([id], false);
+    this.#record([id], false);
   }
 
   remove(id: string): void {
     this.#all.delete(id);
-    this.#note([id], false);
+    this.#record([id], false);
   }
 
-  #note(ids: readonly string[], isWhole: boolean): void {
+  #record(ids: readonly string[], isFullList: boolean): void {
     this.#version += 1;
-    this.log.record({ version: this.#version, isWhole, ids, all: this.#all });
+    this.log.record({
+      version: this.#version,
+      isFullList,
+      ids,
+      all: this.#all,
+    });
   }
 }
 
-describe("the log of target changes", () => {
-  // Each target writes its heartbeat to the list every second. Passed on, each
-  // of them would wake every process of the deployment.
-  it("keeps what changed and not what was only written again", () => {
-    const list = new NotedList();
-    list.whole("a", "b");
+describe("TargetChangeLog", () => {
+  // Guards against waking every process of the deployment with the heartbeat
+  // that each target writes to the list every second.
+  it("records changed targets, not those written again unchanged", () => {
+    const list = new RecordedList();
+    list.replaceAll("a", "b");
     list.set("a");
     expect(list.log.changedVersion).to.equal(1);
     list.set("b", { address: "10.0.0.9:1" });
@@ -49,21 +54,21 @@
     });
   });
 
-  it("names what is gone", () => {
-    const list = new NotedList();
-    list.whole("a", "b");
+  it("names removed targets", () => {
+    const list = new RecordedList();
+    list.replaceAll("a", "b");
     list.remove("a");
     expect(list.log.changesSince(1)?.removed).to.deep.equal(["a"]);
   });
 
-  // The holder's link to the store was cut, and it has read the whole list
-  // anew. What went on meanwhile it cannot tell; a process that took its
-  // silence for calm would keep a target that has left.
-  it("admits what it does not know", () => {
-    const list = new NotedList();
-    list.whole("a");
+  // Guards against keeping a target that has left: the holder was cut off from
+  // the store and read the whole list again, so the changes in between are
+  // unknown.
+  it("returns null for changes that it does not know", () => {
+    const list = new RecordedList();
+    list.replaceAll("a");
     list.set("b");
-    list.whole("b");
+    list.replaceAll("b");
     expect(list.log.changesSince(2)).to.equal(null);
     expect(list.log.changesSince(3)).to.deep.equal({
       targets: [],
--- a/src/common/relay/types.ts
+++ b/src/common/relay/types.ts
@@ -1,14 +1,17 @@
-/** What the lease holder passes on of the store, and what is asked of it. */
+/**
+ * Store updates that the lease holder distributes, and the versions they
+ * extend.
+ */
 import type { IListedTarget } from "../calls/types.ts";
 import type { InstanceId } from "../types.ts";
 
-/** The newest answer of the store that a process has, by kind; 0 for none. */
+/** The store versions that a process has, by kind; 0 for none. */
 export interface IStoreVersions {
   readonly configuration: number;
   readonly targets: number;
 }
 
-/** What the holder knows of the objects of one kind. */
+/** The holder's knowledge of the objects of one kind. */
 export interface IKindStatus {
   /** The store's version at its last answer to the holder. */
   readonly version: number;
@@ -18,17 +21,23 @@
   readonly age: number;
 }
 
-/** Targets that changed, and those that are gone. */
+/** Targets that changed, and those that were removed. */
 export interface ITargetChanges {
   readonly targets: readonly IListedTarget[];
   readonly removed: readonly InstanceId[];
 }
 
-/** The holder's word on the store. */
+/** What the holder knows of the store. */
 export interface IStoreUpdate {
-  /** Its object is large and seldom changes: who lacks it asks the store. */
+  /**
+   * The configuration is large and rarely changes: processes without it ask the
+   * store.
+   */
   readonly configuration: IKindStatus;
   readonly targets: IKindStatus;
-  /** Since the version that was named; null where it is not known so far back. */
+  /**
+   * Changes since the version that the process reported; null if they are not
+   * known that far back.
+   */
   readonly targetChanges: ITargetChanges | null;
 }
--- a/src/common/replicas/domain_summary.ts
+++ b/src/common/replicas/domain_summary.ts
@@ -1,9 +1,9 @@
-/** What each fabric domain has, in a form for the log. */
+/** Summarizes the state of each fabric domain for the log. */
 import type { DomainName, InstanceId } from "../types.ts";
 import type { IEngineView } from "./engine_registry.ts";
 import type { IReplicaGroup } from "./replica_group.ts";
 
-/** One domain at one moment. */
+/** State of one domain. */
 export interface IDomainSummary {
   readonly domain: DomainName;
   /** Such as `large:serving=2 small:forming=1`. */
@@ -12,11 +12,11 @@
   readonly free: string;
 }
 
-/** What an instance does beside being free. */
+/** Looks up the state of free instances. */
 export interface IInstanceStates {
   /** Whether it is loading a model onto its host. */
   readonly isStaging: (id: InstanceId) => boolean;
-  /** Whether it is set aside because it is slow. */
+  /** Whether it is excluded because it is slow. */
   readonly isSlow: (id: InstanceId) => boolean;
 }
 
@@ -34,8 +34,8 @@
   }
   return [...domains].sort(byName).map(([domain, counts]) => ({
     domain,
-    groups: textOf(counts.groups),
-    free: textOf(counts.free),
+    groups: formatCounts(counts.groups),
+    free: formatCounts(counts.free),
   }));
 }
 
@@ -75,6 +75,6 @@
   return one < other ? -1 : 1;
 }
 
-function textOf(counts: ReadonlyMap<string, number>): string {
+function formatCounts(counts: ReadonlyMap<string, number>): string {
   return [...counts].map(([label, count]) => `${label}=${count}`).join(" ");
 }
--- a/src/common/replicas/engine_monitor.ts
+++ b/src/common/replicas/engine_monitor.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps what is known of a service's engines up to date: asks each for a
- * report, those whose groups change or are suspected more often.
+ * Polls the engines of a service for reports, more often those whose groups
+ * change or are suspected.
  */
 import type { IListedTarget } from "../calls/types.ts";
 import type { IClock, ILog, IMetrics } from "../services/services.ts";
@@ -13,31 +13,42 @@
 import type { IEngineClient } from "./types.ts";
 
 /**
- * Time between two reports of an engine that serves or is free: reports are
- * paid for, and the streams of a group that stands still show it sooner.
+ * Time between two reports of an engine that serves or is free, milliseconds.
+ * Reports are charged, and the streams of a stalled group show the stall
+ * sooner.
  */
 const CALM_REPORT_PERIOD = 900;
 
-/** Time between two reports of an engine whose group changes or is suspected. */
+/**
+ * Time between two reports of an engine whose group changes or is suspected,
+ * milliseconds.
+ */
 const BUSY_REPORT_PERIOD = 120;
 
-/** An engine answers at once; a cross-zone trip takes some 12 ms. */
+/**
+ * Milliseconds. An engine answers at once; a cross-zone round trip takes about
+ * 12 ms.
+ */
 const REPORT_TIMEOUT = 200;
 
-/** How long a suspected group's members are asked often, milliseconds. */
+/** How long the members of a suspected group are polled often, milliseconds. */
 const SUSPICION_TIME = 1_200;
 
 /**
- * No more engines came for so long, milliseconds: the list is taken for whole.
- * It grows in bursts at a first start; formed of half a domain, groups are
- * mostly small ones, and the large model is short for the rest of the day.
+ * Time without new engines after which the list counts as complete,
+ * milliseconds. It grows in bursts at a first start; groups formed from half a
+ * domain are mostly small, and the large model is short for the rest of the
+ * day.
  */
 const LIST_SETTLED_AFTER = 1_000;
 
-/** Gone engines are remembered as long as orders may be carried out late. */
+/**
+ * How long engines that are gone are kept, milliseconds: as long as orders may
+ * be carried out late.
+ */
 const FORGET_AFTER = 15_000;
 
-/** What the watch needs. */
+/** Dependencies of {@link EngineMonitor}. */
 export interface IEngineMonitorParts {
   readonly engines: IEngineClient;
   readonly clock: IClock;
@@ -47,12 +58,12 @@
   readonly isBeforeTraffic: () => boolean;
 }
 
-/** The engines of one service, while this process holds the lease. */
+/** Monitors the engines of one service while this process holds the lease. */
 export class EngineMonitor {
   readonly #parts: IEngineMonitorParts;
   readonly #registry = new EngineRegistry(FORGET_AFTER);
   readonly #askedAt = new Map<InstanceId, MonotonicTime>();
-  /** Until when each suspected group's members are asked often. */
+  /** Until when the members of each suspected group are polled often. */
   readonly #suspectedUntil = new Map<string, MonotonicTime>();
   #listSize = 0;
   #listGrewAt: MonotonicTime;
@@ -67,17 +78,20 @@
     return this.#registry.views;
   }
 
-  /** Whether each engine was asked once; nothing is concluded before. */
+  /** Whether each engine was polled once; nothing is concluded before. */
   get isSurveyComplete(): boolean {
     return this.#isSurveyComplete;
   }
 
-  /** Whether so many are silent that this process's link is the likely cause. */
+  /**
+   * Whether so many engines are silent that this process's link is the likely
+   * cause.
+   */
   get isOwnLinkSuspect(): boolean {
     return this.#registry.isOwnLinkSuspect;
   }
 
-  /** Processes found groups standing still: their members are asked at once. */
+  /** Polls the members of groups that processes found stalled, at once. */
   suspectGroups(groups: readonly string[]): void {
     const until = this.#parts.clock.now() + SUSPICION_TIME;
     for (const group of groups) {
@@ -85,56 +99,59 @@
     }
   }
 
-  /** Takes the platform's list and asks whoever is due. */
+  /** Applies the platform's list and polls the engines that are due. */
   poll(groups: readonly IReplicaGroup[], now: MonotonicTime): void {
-    const listed = this.#parts.listedTargets();
-    if (listed.length > this.#listSize) {
+    const targets = this.#parts.listedTargets();
+    if (targets.length > this.#listSize) {
       this.#listGrewAt = now;
     }
-    this.#listSize = listed.length;
-    this.#registry.updateTargets(listed, now);
+    this.#listSize = targets.length;
+    this.#registry.updateTargets(targets, now);
     this.#removeOldSuspicions(now);
-    this.#askForReports(groups, now);
+    this.#requestReports(groups, now);
     this.#isSurveyComplete ||= this.#completesSurvey(now);
   }
 
   #completesSurvey(now: MonotonicTime): boolean {
     const views = [...this.#registry.views.values()];
-    // Only at the first start do engines appear one after the other.
+    // Engines appear one by one only at the first start.
     const isSettled =
       !this.#parts.isBeforeTraffic() ||
       now - this.#listGrewAt >= LIST_SETTLED_AFTER;
-    const isAsked = views.every(
+    const hasPolledAll = views.every(
       ({ state, isSilent, isListed }) =>
         state !== null || isSilent || !isListed,
     );
-    const isKnown = views.length > 0 && isSettled && isAsked;
-    if (isKnown) {
+    const isComplete = views.length > 0 && isSettled && hasPolledAll;
+    if (isComplete) {
       this.#parts.log.info("engines_surveyed", { engines: views.length });
     }
-    return isKnown;
+    return isComplete;
   }
 
-  #askForReports(groups: readonly IReplicaGroup[], now: MonotonicTime): void {
+  #requestReports(groups: readonly IReplicaGroup[], now: MonotonicTime): void {
     const busy = this.#busyEngines(groups);
     for (const [id, view] of this.#registry.views) {
       // A head that the platform has dropped may still answer.
       if (!view.isListed && !busy.has(id)) {
         continue;
       }
-      // A silent engine is most likely gone; the platform's list will tell.
+      // A silent engine is most likely gone; the platform's list will show it.
       const isBusy =
         (busy.has(id) && !view.isSilent) || this.#registry.needsRecheck(id);
       const period = isBusy ? BUSY_REPORT_PERIOD : CALM_REPORT_PERIOD;
       const askedAt = this.#askedAt.get(id) ?? Number.NEGATIVE_INFINITY;
       if (now - askedAt >= period) {
         this.#askedAt.set(id, now);
-        void this.#ask(view, now);
+        void this.#requestReport(view, now);
       }
     }
   }
 
-  async #ask(view: IEngineView, askedAt: MonotonicTime): Promise<void> {
+  async #requestReport(
+    view: IEngineView,
+    askedAt: MonotonicTime,
+  ): Promise<void> {
     const { id } = view.target;
     const report = await this.#parts.engines.fetchReport(
       view.target,
@@ -149,7 +166,7 @@
     this.#registry.recordReport(id, report.value, { askedAt, now });
   }
 
-  /** Engines in groups that change or are suspected. */
+  /** Engines of groups that change or are suspected. */
   #busyEngines(groups: readonly IReplicaGroup[]): ReadonlySet<InstanceId> {
     const busy = new Set<InstanceId>();
     for (const { phase, plan, head } of groups) {
--- a/src/common/replicas/engine_registry.ts
+++ b/src/common/replicas/engine_registry.ts
@@ -1,19 +1,19 @@
 /**
- * What the lease holder knows of each engine: the platform's entry, its newest
+ * The lease holder's view of each engine: the platform's entry, its latest
  * report, and whether it still answers.
  *
- * An engine is silent after {@link MISSES_TO_SILENCE} reports in a row that
- * were not answered, each on a connection of its own. When a large share of
- * the engines falls silent together, the cause is more likely this process's
- * own link, and nothing is concluded; one would otherwise give up every group
- * because one cable is out.
+ * An engine is silent after {@link MISSES_TO_SILENCE} consecutive reports that
+ * were not answered, each on a connection of its own. When a large share of the
+ * engines becomes silent together, this process's own link is the more likely
+ * cause and nothing is concluded; otherwise one broken cable would cause every
+ * group to be abandoned.
  *
- * The same holds for a zone. The members of a suspected group are asked often
- * and fall silent first when their zone is cut off; given up then, before the
- * rest of the zone was asked, the zone's callers would be without their groups
- * for as long as the cut lasts and until new ones stand. So a silence counts
- * once some engine of the zone has answered since, and the others are asked at
- * once to find out.
+ * The same applies to a zone. The members of a suspected group are polled often
+ * and become silent first when their zone is cut off. If they were abandoned
+ * before the rest of the zone was polled, the zone's callers would have no
+ * groups for as long as the cut lasts and until new ones are formed. So a
+ * silence counts only once another engine of the zone has answered since, and
+ * the others are polled at once to find out.
  */
 import type { IEngineState, IListedTarget } from "../calls/types.ts";
 import { ListedState } from "../calls/types.ts";
@@ -25,75 +25,87 @@
 } from "../types.ts";
 import type { IEngineReport } from "./types.ts";
 
-/** Unanswered reports in a row that make an engine silent. */
+/** Consecutive unanswered reports that make an engine silent. */
 const MISSES_TO_SILENCE = 2;
 
-/** Share of the answering engines whose silence is put down to this process. */
+/**
+ * Share of the engines that once answered whose silence is attributed to this
+ * process's own link.
+ */
 const OWN_LINK_SHARE = 0.4;
 
-/** Share of each domain of a zone whose silence means that the zone is cut. */
+/**
+ * Share of silent engines in each domain of a zone that means the zone is cut
+ * off.
+ */
 const CUT_OFF_SHARE = 0.6;
 
-/** Domains that a zone must have for that: one may go dark by itself. */
+/** Minimum number of domains in such a zone, since one may fail by itself. */
 const MIN_DOMAINS = 2;
 
-/** An engine as seen at one moment. */
+/** State of an engine at one moment. */
 export interface IEngineView {
   readonly target: IListedTarget;
   readonly isListed: boolean;
   readonly isDraining: boolean;
   /** Null before the first report. */
   readonly state: IEngineState | null;
-  /** When the newest report was asked for. */
+  /** When the latest report was requested. */
   readonly askedAt: MonotonicTime;
-  /** When it last answered; when it was first listed before that. */
+  /** When it last answered, or was first listed if it has not answered. */
   readonly answeredAt: MonotonicTime;
   readonly isSilent: boolean;
   /**
-   * Its whole zone does not answer here, or may not. It may well serve its own
-   * zone, so its silence proves nothing.
+   * Its whole zone does not answer this process, or may not. It may still serve
+   * its own zone, so its silence proves nothing.
    */
   readonly isUnreachable: boolean;
-  /** Start of the process that gave the newest report. */
+  /** Start of the process that gave the latest report. */
   readonly startedAt: number;
-  /** Factor on its times, by its newest report; 1 before the first. */
+  /** Factor on its times, by its latest report; 1 before the first. */
   readonly pace: number;
 }
 
-interface IKnownEngine {
+interface ITrackedEngine {
   target: IListedTarget;
   isListed: boolean;
   state: IEngineState | null;
   askedAt: MonotonicTime;
   answeredAt: MonotonicTime;
   misses: number;
-  /** When the report was asked for whose miss made it silent. */
+  /** Request time of the unanswered report that made it silent. */
   silentAt: MonotonicTime;
   startedAt: number;
   pace: number;
 }
 
-/** The engines of one service. */
+/** Tracks the engines of one service. */
 export class EngineRegistry {
-  readonly #engines = new Map<InstanceId, IKnownEngine>();
+  readonly #engines = new Map<InstanceId, ITrackedEngine>();
   readonly #forgetAfter: number;
   #cutOff: ReadonlySet<ZoneName> = new Set();
-  /** Zones that may be cut off: none of their engines was heard since. */
+  /**
+   * Zones that may be cut off: none of their engines has answered since one
+   * became silent.
+   */
   #doubtfulZones: ReadonlySet<ZoneName> = new Set();
-  /** When the newest answered report of each zone was asked for. */
+  /** Request time of the latest answered report of each zone. */
   readonly #zoneAnsweredAt = new Map<ZoneName, MonotonicTime>();
 
-  /** @param forgetAfter - milliseconds after which a gone engine is dropped */
+  /**
+   * @param forgetAfter - milliseconds after which an engine that is gone is
+   *   removed
+   */
   constructor(forgetAfter: number) {
     this.#forgetAfter = forgetAfter;
   }
 
-  /** The platform's list, whole. */
+  /** Applies the platform's full list. */
   updateTargets(targets: readonly IListedTarget[], now: MonotonicTime): void {
     const present = new Set<InstanceId>();
     for (const target of targets) {
       present.add(target.id);
-      this.#update(target, now);
+      this.#updateTarget(target, now);
     }
     for (const [id, engine] of this.#engines) {
       engine.isListed = present.has(id);
@@ -122,12 +134,12 @@
     engine.answeredAt = times.now;
     engine.misses = 0;
     const { zone } = engine.target;
-    const zoneHeardAt = this.#zoneAnsweredAt.get(zone) ?? times.askedAt;
-    this.#zoneAnsweredAt.set(zone, Math.max(zoneHeardAt, times.askedAt));
+    const zoneAnsweredAt = this.#zoneAnsweredAt.get(zone) ?? times.askedAt;
+    this.#zoneAnsweredAt.set(zone, Math.max(zoneAnsweredAt, times.askedAt));
     this.#doubtfulZones = this.#findDoubtfulZones();
   }
 
-  /** A report that was asked for at a time was not answered. */
+  /** Records that a report requested at a given time was not answered. */
   recordMiss(id: InstanceId, askedAt: MonotonicTime): void {
     const engine = this.#engines.get(id);
     if (engine === undefined) {
@@ -140,7 +152,10 @@
     this.#doubtfulZones = this.#findDoubtfulZones();
   }
 
-  /** Whether an engine should be asked again soon, to tell who is silent. */
+  /**
+   * Whether an engine should be polled again soon to determine which are
+   * silent.
+   */
   needsRecheck(id: InstanceId): boolean {
     const engine = this.#engines.get(id);
     if (engine === undefined || isSilent(engine)) {
@@ -149,7 +164,10 @@
     return engine.misses > 0 || this.#doubtfulZones.has(engine.target.zone);
   }
 
-  /** Whether so many are silent that this process's link is the likely cause. */
+  /**
+   * Whether so many engines are silent that this process's link is the likely
+   * cause.
+   */
   get isOwnLinkSuspect(): boolean {
     const answered = [...this.#engines.values()].filter(
       ({ state, isListed }) => state !== null && isListed,
@@ -177,34 +195,34 @@
     return views;
   }
 
-  #isZoneReachable({ target: { zone } }: IKnownEngine): boolean {
+  #isZoneReachable({ target: { zone } }: ITrackedEngine): boolean {
     return !this.#cutOff.has(zone) && !this.#doubtfulZones.has(zone);
   }
 
   /**
-   * Zones with a silent engine of which no engine was heard since, and some
-   * are yet to be asked. Once all of them are silent, the zone is cut off or
-   * its one domain has gone dark.
+   * Zones with a silent engine in which no engine has answered since and some
+   * have yet to be polled. Once all of them are silent, the zone is cut off or
+   * its only domain has failed.
    */
   #findDoubtfulZones(): ReadonlySet<ZoneName> {
-    const unheard = new Set<ZoneName>();
-    const unasked = new Set<ZoneName>();
+    const silentZones = new Set<ZoneName>();
+    const zonesToPoll = new Set<ZoneName>();
     for (const engine of this.#engines.values()) {
       const { zone } = engine.target;
-      const heardAt =
+      const answeredAt =
         this.#zoneAnsweredAt.get(zone) ?? Number.NEGATIVE_INFINITY;
-      if (isSilent(engine) && heardAt < engine.silentAt) {
-        unheard.add(zone);
+      if (isSilent(engine) && answeredAt < engine.silentAt) {
+        silentZones.add(zone);
       } else if (!isSilent(engine) && engine.isListed && engine.state) {
-        unasked.add(zone);
+        zonesToPoll.add(zone);
       }
     }
-    return new Set([...unheard].filter((zone) => unasked.has(zone)));
+    return new Set([...silentZones].filter((zone) => zonesToPoll.has(zone)));
   }
 
   /**
-   * Looks anew at which zones are cut off. The engines of one that is back are
-   * given time to answer: their old silence proves nothing.
+   * Updates which zones are cut off. The engines of a zone that is back get
+   * time to answer, since their earlier silence proves nothing.
    */
   #updateCutOffZones(): void {
     const before = this.#cutOff;
@@ -217,14 +235,14 @@
     }
   }
 
-  /** Zones of which most engines of each domain fell silent. */
+  /** Finds zones in which most engines of each domain are silent. */
   #findCutOffZones(): ReadonlySet<ZoneName> {
-    const zones = new Map<ZoneName, Map<DomainName, IKnownEngine[]>>();
+    const zones = new Map<ZoneName, Map<DomainName, ITrackedEngine[]>>();
     for (const engine of this.#engines.values()) {
       if (engine.state !== null) {
         const { zone } = engine.target;
         const domains =
-          zones.get(zone) ?? new Map<DomainName, IKnownEngine[]>();
+          zones.get(zone) ?? new Map<DomainName, ITrackedEngine[]>();
         const { domain } = engine.state;
         domains.set(domain, [...(domains.get(domain) ?? []), engine]);
         zones.set(zone, domains);
@@ -241,7 +259,7 @@
     return new Set(cutOff.map(([zone]) => zone));
   }
 
-  #update(target: IListedTarget, now: MonotonicTime): void {
+  #updateTarget(target: IListedTarget, now: MonotonicTime): void {
     const known = this.#engines.get(target.id);
     if (known === undefined) {
       this.#engines.set(target.id, {
@@ -262,6 +280,6 @@
   }
 }
 
-function isSilent(engine: IKnownEngine): boolean {
+function isSilent(engine: ITrackedEngine): boolean {
   return engine.misses >= MISSES_TO_SILENCE;
 }
--- a/src/common/replicas/exchange_client.ts
+++ b/src/common/replicas/exchange_client.ts
@@ -1,9 +1,9 @@
 /**
- * The part of a process that does not hold the lease: it tells the holder what
- * it has in flight and hears which groups serve.
+ * The exchange of a process that does not hold the lease: reports its requests
+ * in flight to the holder and receives the serving groups.
  *
- * Without it a process learns of a lost or a new group from the platform's
- * list, a second or more later, and of the others' requests never.
+ * Without it, a process learns of a lost or new group from the platform's list,
+ * a second or more later, and never of other processes' requests.
  */
 import type { IServingGroup } from "../calls/serving_groups.ts";
 import type { IStoreUpdate } from "../relay/types.ts";
@@ -11,50 +11,53 @@
 import type { MonotonicTime } from "../types.ts";
 import type { IHolderLink, IHolderReply, IProcessReport } from "./exchange.ts";
 
-/** The holder answers at the latest by then where nothing changes. */
+/**
+ * Time after which the holder replies even if nothing has changed,
+ * milliseconds.
+ */
 export const EXCHANGE_WAIT = 200;
 
-/** Beyond it until an exchange counts as failed, milliseconds. */
+/** Time beyond the wait after which an exchange has failed, milliseconds. */
 const EXCHANGE_GRACE = 400;
 
-/** Shortest time between two exchanges, milliseconds. */
+/** Minimum time between two exchanges, milliseconds. */
 const MIN_PAUSE = 30;
 
-/** Time between two tries while there is no holder, milliseconds. */
+/** Time between attempts while there is no holder, milliseconds. */
 const RETRY_PAUSE = 150;
 
-/** Names no table, so that the answer does not wait for a newer one. */
+/** Version of no table, so that the reply does not wait for a newer one. */
 const NO_TABLE = 0;
 
-/** A table that is older is not used, milliseconds. */
+/** Age from which a table is no longer used, milliseconds. */
 const TABLE_LIFETIME = 1_500;
 
-/** What the listener needs. */
+/** Dependencies of {@link ExchangeClient}. */
 export interface IExchangeClientParts {
   readonly link: IHolderLink;
   readonly clock: IClock;
   readonly log: ILog;
-  /** Where the holder is reached; null where there is none, or it is here. */
+  /** Address of the holder; null if there is none or it is this process. */
   readonly holderAddress: () => string | null;
   readonly report: (tableVersion: number) => IProcessReport;
   readonly onReply: () => void;
-  readonly onStoreUpdate: (word: IStoreUpdate) => void;
-  /** Another process answers at the holder's address. */
+  readonly onStoreUpdate: (update: IStoreUpdate) => void;
+  /** Called when another process answers at the holder's address. */
   readonly onOtherProcess: (process: string) => void;
 }
 
-/** What a holder knows of the groups and of the other processes. */
+/** A holder's view of the groups and the other processes. */
 export interface IHolderTable {
   readonly groups: readonly IServingGroup[];
-  /** Groups that were given up of late. */
+  /** Recently abandoned groups. */
   readonly abandonedGroups: readonly string[];
-  /** Requests in each group that the others have sent. */
+  /** Requests in each group sent by other processes. */
   readonly othersInFlight: ReadonlyMap<string, number>;
-  /** Processes heard of, the holder included. */
+  /** Number of known processes, including the holder. */
   readonly processes: number;
 }
 
-/** Hears from the holder. */
+/** Sends reports to the holder and keeps its latest reply. */
 export class ExchangeClient {
   readonly #parts: IExchangeClientParts;
   #groups: readonly IServingGroup[] = [];
@@ -80,17 +83,17 @@
     this.#isStopped = true;
   }
 
-  /** Whether the holder's table is fresh enough to go by. */
+  /** Whether the holder's table is recent enough to use. */
   get isFresh(): boolean {
     return this.age < TABLE_LIFETIME;
   }
 
-  /** Milliseconds since the holder was last heard. */
+  /** Milliseconds since the holder's last reply. */
   get age(): number {
     return this.#parts.clock.now() - this.#repliedAt;
   }
 
-  /** Whether the holder answered the last exchange and can give orders. */
+  /** Whether the holder answered the last exchange and can send orders. */
   get isHolderHealthy(): boolean {
     return this.#hasAnswered && !this.#isInDoubt;
   }
@@ -99,7 +102,7 @@
     return this.#groups;
   }
 
-  /** Groups that the holder has given up of late. */
+  /** Groups that the holder abandoned recently. */
   get abandonedGroups(): readonly string[] {
     return this.#abandonedGroups;
   }
@@ -108,14 +111,14 @@
     return this.#othersInFlight;
   }
 
-  /** Processes that the holder hears of. */
+  /** Number of processes known to the holder. */
   get processes(): number {
     return this.#processes;
   }
 
   /**
-   * Goes by this process's own last table until another holder is heard: what
-   * the holder before it told is out of date.
+   * Uses this process's own last table until another holder replies, since what
+   * the previous holder replied is out of date.
    */
   useTable(table: IHolderTable): void {
     this.#repliedAt = this.#parts.clock.now();
@@ -127,8 +130,8 @@
   }
 
   /**
-   * Tells the holder at once, beside the exchange that waits: a group found
-   * standing still is healed sooner by the wait.
+   * Reports to the holder at once, beside the exchange that waits, so that a
+   * stalled group recovers sooner by the length of the wait.
    */
   reportNow(): void {
     const address = this.#parts.holderAddress();
--- a/src/common/replicas/exchange_client_test.ts
+++ b/src/common/replicas/exchange_client_test.ts
@@ -12,8 +12,8 @@
 } from "./exchange.ts";
 import { ExchangeClient } from "./exchange_client.ts";
 
-/** The word of a holder that was built before it told of the store. */
-const OLD_WORD: IHolderReply = {
+/** A reply from a holder built before replies included the store. */
+const OLD_REPLY: IHolderReply = {
   tableVersion: 1,
   groups: [],
   othersInFlight: {},
@@ -22,7 +22,7 @@
 };
 const KIND = { version: 5, changedVersion: 5, age: 10 };
 
-function processWord(tableVersion: number): IProcessReport {
+function processReport(tableVersion: number): IProcessReport {
   return {
     process: "here",
     hasCalls: false,
@@ -34,49 +34,51 @@
   };
 }
 
-/** Listens to a holder that always says the same; returns what it told. */
-async function heardOf(word: IHolderReply): Promise<{
+/**
+ * Exchanges with a holder that always sends the same reply; returns the store
+ * updates received.
+ */
+async function receiveFrom(reply: IHolderReply): Promise<{
   readonly store: readonly IStoreUpdate[];
-  readonly isHolderSound: boolean;
+  readonly isHolderHealthy: boolean;
 }> {
   const clock = new ManualClock();
   const store: IStoreUpdate[] = [];
   const answer: Result<ExchangeAnswer, ICallFailure> = Ok({
     isHolder: true,
-    word,
+    word: reply,
   });
-  const listener = new ExchangeClient({
+  const client = new ExchangeClient({
     link: { exchange: () => Promise.resolve(answer) },
     clock,
     log: new KeptLog(),
     holderAddress: () => "holder:1",
-    report: processWord,
+    report: processReport,
     onReply: () => undefined,
-    onStoreUpdate: (heard) => store.push(heard),
+    onStoreUpdate: (update) => store.push(update),
     onOtherProcess: () => undefined,
   });
-  listener.start();
+  client.start();
   for (let turn = 0; turn < 20; turn += 1) {
     clock.advance(50);
     await Promise.resolve();
   }
-  listener.dispose();
-  return { store, isHolderSound: listener.isHolderHealthy };
+  client.dispose();
+  return { store, isHolderHealthy: client.isHolderHealthy };
 }
 
-describe("hearing from the lease holder", () => {
-  it("passes on what the holder says of the store", async () => {
-    const told = { configuration: KIND, targets: KIND, targetChanges: null };
-    const { store } = await heardOf({ ...OLD_WORD, store: told });
-    expect(store[0]).to.deep.equal(told);
+describe("ExchangeClient", () => {
+  it("passes on the holder's store updates", async () => {
+    const update = { configuration: KIND, targets: KIND, targetChanges: null };
+    const { store } = await receiveFrom({ ...OLD_REPLY, store: update });
+    expect(store[0]).to.deep.equal(update);
   });
 
-  // Processes are replaced by a new build one after the other, and the old
-  // holder says nothing of the store. A process that fell over that would end,
-  // start again and end again until the holder was replaced.
-  it("understands a holder of an older build", async () => {
-    const { store, isHolderSound } = await heardOf(OLD_WORD);
+  // Guards against a crash loop during a rolling update: until the holder is
+  // replaced as well, its older build sends no store updates.
+  it("accepts replies from a holder of an older build", async () => {
+    const { store, isHolderHealthy } = await receiveFrom(OLD_REPLY);
     expect(store).to.deep.equal([]);
-    expect(isHolderSound).to.equal(true);
+    expect(isHolderHealthy).to.equal(true);
   });
 });
--- a/src/common/replicas/exchange_server.ts
+++ b/src/common/replicas/exchange_server.ts
@@ -1,6 +1,6 @@
 /**
- * The lease holder's side of the exchange: keeps the table of serving groups
- * and answers processes at once when it changes, else after a short wait.
+ * The lease holder's side of the exchange: keeps the table of serving groups,
+ * and replies to processes at once when it changes or else after a short wait.
  */
 import type { IServingGroup } from "../calls/serving_groups.ts";
 import { Emitter } from "../emitter.ts";
@@ -10,25 +10,25 @@
 import type { ExchangeAnswer, IProcessReport } from "./exchange.ts";
 import { ProcessReports, sumInFlight } from "./process_reports.ts";
 
-/** Versions of the table under one epoch of the lease. */
+/** Table versions within one epoch of the lease. */
 const TABLES_PER_EPOCH = 1_000_000;
 
-/** What the desk needs. */
+/** Dependencies of {@link ExchangeServer}. */
 export interface IExchangeServerParts {
   readonly clock: IClock;
   /** Whether this process holds the lease and knows the groups. */
   readonly isActiveHolder: () => boolean;
   readonly mayOrder: () => boolean;
   readonly leaseEpoch: () => number;
-  /** Groups that some process found standing still. */
+  /** Called with groups that a process found stalled. */
   readonly onGroupsSuspected: (groups: readonly string[]) => void;
-  /** This process's own word. */
+  /** Returns this process's own report. */
   readonly ownReport: () => IProcessReport;
-  /** What the store told, beyond what a process has. */
+  /** Returns the state of the store beyond what a process has. */
   readonly storeUpdate: (versions: IStoreVersions) => IStoreUpdate | null;
 }
 
-/** Answers the other processes. */
+/** Replies to the other processes. */
 export class ExchangeServer {
   readonly #parts: IExchangeServerParts;
   readonly #reports = new ProcessReports();
@@ -42,16 +42,16 @@
   }
 
   /**
-   * The groups that serve have changed.
+   * Publishes a changed table of serving groups.
    *
-   * @param givenUp - groups that were given up of late
+   * @param abandonedGroups - recently abandoned groups
    */
   updateTable(
     groups: readonly IServingGroup[],
-    givenUp: readonly string[],
+    abandonedGroups: readonly string[],
   ): void {
     this.#groups = groups;
-    this.#abandonedGroups = givenUp;
+    this.#abandonedGroups = abandonedGroups;
     this.#changes += 1;
     this.#changed.fire();
   }
@@ -64,13 +64,13 @@
     return this.#abandonedGroups;
   }
 
-  /** Words of all processes, this one's included. */
+  /** Reports of all processes, including this one. */
   get reports(): readonly IProcessReport[] {
     const now = this.#parts.clock.now();
     return [...this.#reports.recent(now), this.#parts.ownReport()];
   }
 
-  /** Requests in each group that the others have sent. */
+  /** Requests in each group sent by other processes. */
   get othersInFlight(): ReadonlyMap<string, number> {
     return sumInFlight(this.#reports.recent(this.#parts.clock.now()));
   }
--- a/src/common/replicas/group_adoption.ts
+++ b/src/common/replicas/group_adoption.ts
@@ -1,9 +1,10 @@
 /**
- * Finds the groups that engines report and a new lease holder knows nothing of.
+ * Finds groups that engines report and a new lease holder does not know.
  *
- * After a cut, engines and their entries come back one by one. A group of which
- * some members are unheard may yet be whole; given up at once, its streams
- * would be broken off for nothing, so it is waited for a little.
+ * After a network cut, engines and their entries return one by one. A group
+ * with members that have not reported yet may still be complete. If it were
+ * abandoned at once, its streams would be interrupted for nothing, so it is
+ * given a short time.
  */
 import { MemberState } from "../calls/types.ts";
 import type { IMembership, IModel } from "../calls/types.ts";
@@ -12,40 +13,40 @@
 import type { IGroupPlan } from "./types.ts";
 
 /**
- * How long an incomplete group waits for members not heard of, milliseconds: a
- * little longer than any engine is left unasked.
+ * How long an incomplete group waits for members that have not reported,
+ * milliseconds: slightly longer than any engine goes without being polled.
  */
 const COMPLETION_TIME = 1_200;
 
-/** A group as its members report it. */
+/** A group as reported by its members. */
 export interface IDiscoveredGroup {
   readonly plan: IGroupPlan;
   /** In order of rank. */
   readonly members: readonly IEngineView[];
-  /** Whether all members of the model's size were heard. */
+  /** Whether all members that the model's size requires have reported. */
   readonly isComplete: boolean;
   readonly hasHead: boolean;
   /** Whether its head takes requests. */
   readonly isOpen: boolean;
 }
 
-/** What the keeper knows of reported groups. */
+/** What the controller knows of reported groups. */
 export interface IKnownGroups {
-  /** Whether a reported membership needs no look. */
+  /** Whether a reported membership needs no action. */
   isKnown(membership: IMembership, askedAt: MonotonicTime): boolean;
-  /** Whether a group of the name was given up before. */
+  /** Whether a group of this name was abandoned before. */
   isReleased(name: string): boolean;
 }
 
-/** Remembers which incomplete groups are waited for. */
+/** Tracks incomplete groups until they are adopted. */
 export class GroupAdoption {
   readonly #findModel: (name: string) => IModel | null;
   readonly #known: IKnownGroups;
-  /** Since when members of groups that lack others were heard of. */
+  /** When members of each incomplete group first reported. */
   readonly #incompleteSince = new Map<string, MonotonicTime>();
 
-  constructor(model: (name: string) => IModel | null, known: IKnownGroups) {
-    this.#findModel = model;
+  constructor(findModel: (name: string) => IModel | null, known: IKnownGroups) {
+    this.#findModel = findModel;
     this.#known = known;
   }
 
@@ -53,7 +54,7 @@
     this.#incompleteSince.clear();
   }
 
-  /** The groups to be taken over now. */
+  /** Returns the groups to adopt now. */
   findAdoptable(
     views: ReadonlyMap<string, IEngineView>,
     now: MonotonicTime,
@@ -66,18 +67,21 @@
         reported.set(key, [...(reported.get(key) ?? []), view]);
       }
     }
-    const isUnheard = [...views.values()].some(mayBeHeardOf);
+    const isReportPending = [...views.values()].some(mayStillReport);
     return [...reported.values()]
       .flatMap((members) => this.#discoveredGroup(members))
       .filter(
-        (found) => found.isComplete || !this.#isAwaited(found, isUnheard, now),
+        (found) =>
+          found.isComplete || !this.#isAwaited(found, isReportPending, now),
       );
   }
 
   #discoveredGroup(
     members: readonly IEngineView[],
   ): readonly IDiscoveredGroup[] {
-    const sorted = [...members].sort((one, other) => rank(one) - rank(other));
+    const sorted = [...members].sort(
+      (one, other) => rankOf(one) - rankOf(other),
+    );
     const [first] = sorted;
     const membership = first?.state?.membership;
     if (first === undefined || !membership) {
@@ -90,30 +94,30 @@
       model,
       members: sorted.map(({ target }) => target.id),
     };
-    const isWhole =
+    const isComplete =
       sorted.length === (this.#findModel(model)?.size ?? 0) &&
-      sorted.every((view, index) => rank(view) === index);
+      sorted.every((view, index) => rankOf(view) === index);
     return [
       {
         plan,
         members: sorted,
-        isComplete: isWhole,
-        hasHead: rank(first) === 0,
+        isComplete,
+        hasHead: rankOf(first) === 0,
         isOpen: membership.state === MemberState.Open,
       },
     ];
   }
 
-  /** Whether the members that an incomplete group lacks may yet be heard of. */
+  /** Whether the missing members of an incomplete group may still report. */
   #isAwaited(
     { plan }: IDiscoveredGroup,
-    isUnheard: boolean,
+    isReportPending: boolean,
     now: MonotonicTime,
   ): boolean {
     const since = this.#incompleteSince.get(plan.group) ?? now;
     this.#incompleteSince.set(plan.group, since);
     const isNew = !this.#known.isReleased(plan.group);
-    const isAwaited = isNew && isUnheard && now - since < COMPLETION_TIME;
+    const isAwaited = isNew && isReportPending && now - since < COMPLETION_TIME;
     if (!isAwaited) {
       this.#incompleteSince.delete(plan.group);
     }
@@ -121,12 +125,12 @@
   }
 }
 
-/** One that is silent while its zone answers has ended. */
-function mayBeHeardOf(view: IEngineView): boolean {
-  const isUnasked = view.state === null && !view.isSilent;
-  return view.isListed && (view.isUnreachable || isUnasked);
+/** An engine that is silent while its zone answers has ended. */
+function mayStillReport(view: IEngineView): boolean {
+  const isUnpolled = view.state === null && !view.isSilent;
+  return view.isListed && (view.isUnreachable || isUnpolled);
 }
 
-function rank(view: IEngineView): number {
+function rankOf(view: IEngineView): number {
   return view.state?.membership?.rank ?? Number.MAX_SAFE_INTEGER;
 }
--- a/src/common/replicas/group_controller.ts
+++ b/src/common/replicas/group_controller.ts
@@ -1,13 +1,14 @@
 /**
- * Keeps the replica groups of one service: adopts those that stand, opens,
- * closes and dissolves them. Pure: engines as seen and the time go in, orders
- * come out. Which groups to form is decided in {@link planGroups}.
+ * Manages the replica groups of one service: adopts existing ones, and opens,
+ * closes and dissolves them. Pure: takes the current view of the engines and
+ * the time, and returns orders. {@link planGroups} decides which groups to
+ * form.
  *
- * What goes wrong without its rules: a member joined elsewhere while its old
- * head still takes requests leaves that head with a hole, and requests sent
- * there stand still; a group opened before each member has its weights
- * answers from half a model. One would notice by requests that stall in a
- * group whose members all look healthy.
+ * Two rules prevent requests that stall in a group whose members all look
+ * healthy. A member joins another group only after its old head has stopped
+ * taking requests; otherwise that head serves without one of its members, and
+ * its requests stall. A group opens only when each member has its weights;
+ * otherwise it answers from a partly loaded model.
  */
 import { MemberState } from "../calls/types.ts";
 import type { IMembership, IModel } from "../calls/types.ts";
@@ -26,41 +27,44 @@
 import { OrderKind } from "./types.ts";
 import type { EngineOrder, IGroupPlan } from "./types.ts";
 
-/** Longest time a head that closes is given for what it runs, milliseconds. */
+/** Maximum time for a closing head to finish its requests, milliseconds. */
 const MAX_CLOSING_TIME = 2_500;
 
 /**
- * A group that is not complete by then is given up, as a multiple of the
- * load time: loads beyond the store's rate take longer.
+ * A group that is incomplete after this multiple of the load time is abandoned.
+ * Loads beyond the store's rate take longer than the load time.
  */
 const FORMING_FACTOR = 2.5;
 
-/** Beyond the platform's stall time until a silent head counts as broken. */
+/**
+ * Time beyond the platform's stall time after which a silent head counts as
+ * broken, milliseconds.
+ */
 const STALL_MARGIN = 1_000;
 
-/** Times of the platform's engines, milliseconds. */
+/** Timing of the platform's engines, milliseconds. */
 export interface IGroupTiming {
-  /** After it a head without one of its members breaks. */
+  /** A head without one of its members breaks after this time. */
   readonly stallTime: number;
-  /** By how much reports describe the past; asked for at each look. */
+  /** How far reports lag behind; read on every pass. */
   readonly reportLag: () => number;
   /** From the order to open until the head takes requests. */
   readonly openTime: () => number;
 }
 
-/** How long the others are told that a group was given up, milliseconds. */
+/** How long an abandoned group is reported to other processes, milliseconds. */
 const ABANDONED_REPORT_TIME = 10_000;
 
-/** Reports may be somewhat older than their usual lag, milliseconds. */
+/** Tolerance for reports older than their usual lag, milliseconds. */
 export const REPORT_LAG_MARGIN = 100;
 
 /** Engines by id. */
 export type EngineViews = ReadonlyMap<InstanceId, IEngineView>;
 
-/** Names groups of one engine that only hold a model and are never opened. */
+/** Prefix of single-engine groups that only hold a model and never open. */
 const WARM_PREFIX = "warm-";
 
-/** The name of a group that is never opened. */
+/** Returns the name of a group that is never opened. */
 export function warmGroupName(epoch: number): string {
   return `${WARM_PREFIX}${epoch}`;
 }
@@ -69,21 +73,21 @@
   return name.startsWith(WARM_PREFIX);
 }
 
-/** An order and who gets it. */
+/** An order and the engine that receives it. */
 export interface IAddressedOrder {
   readonly engine: InstanceId;
   readonly order: EngineOrder;
 }
 
-/** A change of a group, for the log. */
+/** A phase change of a group, for the log. */
 export interface IGroupChange {
   readonly group: IReplicaGroup;
   readonly from: GroupPhase | null;
-  /** Null: it is no more. */
+  /** Null once the group is removed. */
   readonly to: GroupPhase | null;
 }
 
-/** The groups of one service. */
+/** Controls the replica groups of one service. */
 export class GroupController {
   readonly #groups = new Map<string, IReplicaGroup>();
   readonly #adoption: GroupAdoption;
@@ -91,15 +95,15 @@
   readonly #findModel: (name: string) => IModel | null;
   #changes: IGroupChange[] = [];
   /**
-   * Groups whose head is known to serve no more. Their other members go on
-   * reporting them until they join another one.
+   * When the head of each released group was found to have stopped serving. The
+   * other members keep reporting the group until they join another one.
    */
   readonly #releasedAt = new Map<string, MonotonicTime>();
 
-  constructor(times: IGroupTiming, model: (name: string) => IModel | null) {
+  constructor(times: IGroupTiming, findModel: (name: string) => IModel | null) {
     this.#times = times;
-    this.#findModel = model;
-    this.#adoption = new GroupAdoption(model, {
+    this.#findModel = findModel;
+    this.#adoption = new GroupAdoption(findModel, {
       isKnown: (membership, askedAt) => this.#isKnown(membership, askedAt),
       isReleased: (name) => this.#releasedAt.has(name),
     });
@@ -110,8 +114,8 @@
   }
 
   /**
-   * Groups that do not serve again. One that was adopted in part may, until its
-   * head has left it: its other members may yet be heard of.
+   * Groups that will not serve again. An incomplete adopted group may, until
+   * its head has left it, because its other members may still report.
    */
   abandonedGroups(now: MonotonicTime): readonly string[] {
     const dissolving = this.groups.filter(
@@ -128,33 +132,36 @@
     ];
   }
 
-  /** What has changed since the last call. */
+  /** Returns the changes since the last call. */
   takeChanges(): readonly IGroupChange[] {
     const changes = this.#changes;
     this.#changes = [];
     return changes;
   }
 
-  /** Forgets everything, since another holder may have acted. */
+  /** Discards all state, since another holder may have acted. */
   clear(): void {
     this.#groups.clear();
     this.#releasedAt.clear();
     this.#adoption.clear();
   }
 
-  /** A new group; its members are ordered to join by the next look. */
+  /** Adds a group; the next pass orders its members to join. */
   form(plan: IGroupPlan, views: EngineViews, now: MonotonicTime): void {
     this.#add(
       this.#createGroup(plan, views, { phase: GroupPhase.Forming, now }),
     );
   }
 
-  /** A member has accepted the order to join. */
+  /** Handles a member's acceptance of the order to join. */
   handleJoined(name: string, member: InstanceId, now: MonotonicTime): void {
     this.#groups.get(name)?.joined.set(member, now);
   }
 
-  /** A serving group is to finish what it has; its members serve another. */
+  /**
+   * Closes a serving group so that its members can serve another model: it
+   * finishes its running requests.
+   */
   close(name: string, now: MonotonicTime): void {
     const group = this.#groups.get(name);
     if (group?.phase === GroupPhase.Serving) {
@@ -163,7 +170,7 @@
     }
   }
 
-  /** A serving group is given up at once, so that a better one is formed. */
+  /** Abandons a serving group at once so that a better one can be formed. */
   abandon(name: string, trouble: GroupTrouble, now: MonotonicTime): void {
     const group = this.#groups.get(name);
     if (group?.phase === GroupPhase.Serving) {
@@ -171,7 +178,10 @@
     }
   }
 
-  /** The head has taken the order to open, and serves after the open time. */
+  /**
+   * Handles the head's acceptance of the order to open; it serves after the
+   * open time.
+   */
   handleOpened(name: string, now: MonotonicTime): void {
     const group = this.#groups.get(name);
     if (group !== undefined) {
@@ -179,7 +189,9 @@
     }
   }
 
-  /** The head has taken the order to leave, which acts at once. */
+  /**
+   * Handles the head's acceptance of the order to leave, which acts at once.
+   */
   handleLeft(name: string): void {
     const group = this.#groups.get(name);
     if (group?.phase === GroupPhase.Dissolving) {
@@ -187,7 +199,7 @@
     }
   }
 
-  /** A member refused an order: the group cannot become whole. */
+  /** Handles a refused order: the group cannot become complete. */
   handleRefused(name: string, now: MonotonicTime): void {
     const group = this.#groups.get(name);
     if (group?.phase === GroupPhase.Forming) {
@@ -195,7 +207,7 @@
     }
   }
 
-  /** Looks at all groups and returns the orders that are due. */
+  /** Updates all groups and returns the orders that are due. */
   reconcile(
     views: EngineViews,
     now: MonotonicTime,
@@ -209,7 +221,7 @@
     return orders;
   }
 
-  /** Engines that are in no group and may be joined to one. */
+  /** Returns engines that are in no group and may join one. */
   freeEngines(views: EngineViews): readonly IEngineView[] {
     const taken = new Set<InstanceId>();
     for (const { plan } of this.#groups.values()) {
@@ -226,14 +238,14 @@
     );
   }
 
-  /** Whether an engine's own word ties it to no group that may be open. */
+  /** Whether the engine's own report ties it to no group that may be open. */
   #isUnassigned({ state, askedAt }: IEngineView): boolean {
     const membership = state?.membership ?? null;
     if (membership === null) {
       return true;
     }
-    const isKept = this.#groups.has(membership.group);
-    return !isKept && this.#isKnown(membership, askedAt);
+    const isManaged = this.#groups.has(membership.group);
+    return !isManaged && this.#isKnown(membership, askedAt);
   }
 
   #updatePhase(
@@ -274,7 +286,7 @@
   ): void {
     const head = views.get(group.head ?? "");
     const isOpen = membershipIn(group, head)?.state === MemberState.Open;
-    // A report shows it later, by the reports' lag and period.
+    // Reports show the open state later, by their lag and period.
     const openTime = this.#times.openTime();
     const isDue = group.openedAt !== null && now - group.openedAt >= openTime;
     if (isOpen || isDue) {
@@ -329,8 +341,8 @@
   }
 
   /**
-   * Whether the head takes no requests for this group any more: by its own
-   * word, or because it has been silent for so long that it is dead or broken.
+   * Whether the head no longer takes requests for this group: it said so, or it
+   * has been silent so long that it is dead or broken.
    */
   #isHeadReleased(
     group: IReplicaGroup,
@@ -343,7 +355,7 @@
     const bound = this.#times.stallTime + STALL_MARGIN;
     const head = views.get(group.head ?? "");
     if (head === undefined) {
-      // It may be alive and back in the list in a moment.
+      // It may be alive and return to the list at any moment.
       return now - group.phaseSince > bound;
     }
     const hasReported = head.askedAt > group.phaseSince + this.#maxReportLag;
@@ -351,8 +363,8 @@
       const membership = membershipIn(group, head);
       return membership === null || membership.state === MemberState.Broken;
     }
-    // The platform has dropped it after some heartbeats without a sign, and it
-    // does not answer here either: it has ended.
+    // The platform has dropped it after missed heartbeats, and it does not
+    // answer this process either: it has ended.
     return !head.isListed && head.isSilent && !head.isUnreachable;
   }
 
@@ -381,7 +393,7 @@
     }
   }
 
-  /** Takes over groups that engines report and this process knows nothing of. */
+  /** Adopts groups that engines report and this process does not know. */
   #adopt(views: EngineViews, now: MonotonicTime): void {
     this.#removeOutgrown(views);
     for (const found of this.#adoption.findAdoptable(views, now)) {
@@ -390,8 +402,8 @@
   }
 
   /**
-   * Drops what was adopted in part when another member is heard of, so that
-   * the group is adopted anew with it: the last one heard may be its open head.
+   * Removes an incomplete adopted group when another member reports, so that
+   * the group is adopted again with it: that member may be its open head.
    */
   #removeOutgrown(views: EngineViews): void {
     for (const { target, state } of views.values()) {
@@ -412,9 +424,9 @@
   }
 
   /**
-   * Whether a reported membership needs no look: its group is kept, or nothing
-   * can come of it. A late order may open a group again that was released; a
-   * report of the time before its release says nothing of that.
+   * Whether a reported membership needs no action: its group is managed here,
+   * or it can have no effect. A delayed order may reopen a released group; a
+   * report from before the release says nothing about that.
    */
   #isKnown({ group, state }: IMembership, askedAt: MonotonicTime): boolean {
     const isOpen = state === MemberState.Open || state === MemberState.Closing;
--- a/src/common/replicas/group_numbers.ts
+++ b/src/common/replicas/group_numbers.ts
@@ -1,15 +1,15 @@
 /**
  * Numbers groups so that no two lists of members ever share a number: by the
- * epoch of the lease, and within it by a count that goes on for as long as the
- * process lives. A holder may lose the lease for a moment and regain it under
- * the same epoch; were the count to begin again, a new group would have the
- * name of one that serves, and its members would be taken for the other's.
+ * epoch of the lease, and within it by a counter that runs for as long as the
+ * process lives. A holder may lose the lease briefly and regain it under the
+ * same epoch. If the counter restarted, a new group would have the name of a
+ * serving one, and its members would be considered members of the other.
  */
 
-/** Groups under one epoch. */
+/** Group numbers within one epoch. */
 const GROUPS_PER_EPOCH = 1_000_000;
 
-/** The numbers that one process gives. */
+/** Assigns the group numbers of one process. */
 export class GroupNumbers {
   #count = 0;
 
--- a/src/common/replicas/group_reassignment.ts
+++ b/src/common/replicas/group_reassignment.ts
@@ -1,26 +1,29 @@
 /**
- * Which groups to close so that their members serve another model.
+ * Decides which groups to close so that their members can serve another model.
  *
- * Pattern of load: a model has lost its groups one by one, or its share of the
- * calls grows, and the free instances of no domain make a group of it, while
- * another model has more groups than its calls fill. Without this its callers
- * queue until instances that must load first are ready; one would notice by
- * waits for one model beside idle slots of the other.
+ * A model loses its groups one by one, or its share of the calls grows, while
+ * no domain has the free instances for a group of it and another model has more
+ * groups than its calls fill. Without reassignment its callers queue until
+ * instances that must load first are ready, although the other model has idle
+ * slots.
  *
  * A large group may take the members of several small ones. They come from one
- * domain, and from the one where the fewest have to be closed.
+ * domain, the one where the fewest groups have to be closed.
  */
 import type { IModel } from "../calls/types.ts";
 import type { DomainName } from "../types.ts";
 import { canJoinWithoutLoad } from "./model_readiness.ts";
 import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
 
-/** By how much of a group a model may fall below its ideal number for it. */
-const TOLERATED_LACK = 0.5;
+/**
+ * Fraction of a group by which a model may fall below its ideal number to
+ * provide one.
+ */
+const TOLERATED_DEFICIT = 0.5;
 
-/** What stands, for the decision. */
+/** State that the decision is based on. */
 export interface IReassignmentInput {
-  /** The model that lacks groups. */
+  /** The model that needs more groups. */
   readonly shortModel: IModel;
   readonly activeGroups: readonly IPlannerGroup[];
   /** Free instances of all domains. */
@@ -29,14 +32,14 @@
   readonly excess: (model: string) => number;
 }
 
-/** The groups to close; empty where it would not help. */
+/** Returns the groups to close; empty where it would not help. */
 export function findGroupsToReassign(
-  situation: IReassignmentInput,
+  input: IReassignmentInput,
 ): readonly string[] {
   let best: readonly string[] = [];
-  const domains = new Set(situation.activeGroups.map(({ domain }) => domain));
+  const domains = new Set(input.activeGroups.map(({ domain }) => domain));
   for (const domain of domains) {
-    const groups = closableIn(domain, situation);
+    const groups = findClosableIn(domain, input);
     if (
       groups.length > 0 &&
       (best.length === 0 || groups.length < best.length)
@@ -47,13 +50,16 @@
   return best;
 }
 
-/** The fewest groups of a domain whose members make one of the short model. */
-function closableIn(
+/**
+ * Returns the fewest groups of a domain whose members form one of the short
+ * model.
+ */
+function findClosableIn(
   domain: DomainName,
-  situation: IReassignmentInput,
+  input: IReassignmentInput,
 ): readonly string[] {
-  const { shortModel, activeGroups, free, excess } = situation;
-  let fit = free.filter(
+  const { shortModel, activeGroups, free, excess } = input;
+  let candidateCount = free.filter(
     (engine) =>
       engine.view.state?.domain === domain &&
       canJoinWithoutLoad(engine, shortModel),
@@ -65,14 +71,14 @@
       canJoinWithoutLoad(one, shortModel),
     ).length;
     const count = (closed.get(group.model) ?? 0) + 1;
-    const isSpareable = excess(group.model) >= count - TOLERATED_LACK;
+    const isDispensable = excess(group.model) >= count - TOLERATED_DEFICIT;
     const isOther = group.model !== shortModel.name && group.isServing;
-    if (group.domain === domain && isOther && isSpareable && gained > 0) {
+    if (group.domain === domain && isOther && isDispensable && gained > 0) {
       closed.set(group.model, count);
       groups.push(group.group);
-      fit += gained;
+      candidateCount += gained;
     }
-    if (fit >= shortModel.size) {
+    if (candidateCount >= shortModel.size) {
       return groups;
     }
   }
--- a/src/common/replicas/ideal_groups.ts
+++ b/src/common/replicas/ideal_groups.ts
@@ -1,25 +1,28 @@
 /**
- * How many groups of each model the instances should make.
+ * Computes how many groups of each model the instances should form.
  *
- * Pattern of load: the demand for one model grows, or instances are lost,
- * while the other model's groups are easier to form. A rule that forms
- * whatever fits lets the model with the small groups eat the instances that
- * the other needs in one place; one would notice by a queue for the large
- * model beside idle groups of the small one.
+ * When the demand for one model grows, or instances are lost, groups of the
+ * other model may be easier to form. Forming whatever fits would let the model
+ * with small groups take the instances that the other needs in one place, and
+ * calls for the large model would queue while groups of the small one are idle.
  *
- * The number that gives all models the same load a slot is proportional to
- * their demand, as far as the instances go.
+ * The number that gives all models the same load per slot is proportional to
+ * their demand, as far as the instances suffice.
  */
 import type { IModel } from "../calls/types.ts";
 
-/** Busy groups that each model counts for without calls, by its share. */
-const STANDING_DEMAND = 0.2;
+/**
+ * Busy groups that each model counts for without calls, multiplied by its
+ * share.
+ */
+const BASE_DEMAND = 0.2;
 
 /**
- * Groups by model; fractions, since rounding depends on what is asked.
+ * Returns the number of groups by model, as fractions, since rounding depends
+ * on the caller.
  *
  * @param demand - groups that the calls keep busy, by model
- * @param instances - how many may be in groups
+ * @param instances - number of instances that may be in groups
  */
 export function idealGroupCounts(
   models: readonly IModel[],
@@ -29,8 +32,7 @@
   const weights = new Map<string, number>();
   let cost = 0;
   for (const model of models) {
-    const weight =
-      (demand.get(model.name) ?? 0) + model.share * STANDING_DEMAND;
+    const weight = (demand.get(model.name) ?? 0) + model.share * BASE_DEMAND;
     weights.set(model.name, weight);
     cost += weight * model.size;
   }
--- a/src/common/replicas/ideal_groups_test.ts
+++ b/src/common/replicas/ideal_groups_test.ts
@@ -11,11 +11,11 @@
 };
 const SMALL = { ...LARGE, name: "small", size: 2, pace: 0.6 };
 
-describe("the number of groups of each model", () => {
-  // Groups of two form of whatever is free, groups of four only where four
-  // are free together. Without an aim the small model takes instance after
-  // instance, and the large one queues beside idle groups.
-  it("loads all models alike", () => {
+describe("idealGroupCounts", () => {
+  // Guards against queues for the large model beside idle groups of the small
+  // one: groups of two form of any free instances, groups of four only where
+  // four are free together.
+  it("gives all models the same load per slot", () => {
     const demand = new Map([
       ["large", 3.7],
       ["small", 7.7],
@@ -27,7 +27,7 @@
     expect(large / 3.8).to.be.closeTo(small / 7.8, 0.001);
   });
 
-  it("goes by the shares while nothing is asked", () => {
+  it("uses the shares while there is no demand", () => {
     const groups = idealGroupCounts([LARGE, SMALL], new Map(), 12);
     expect(groups.get("large")).to.be.closeTo(2, 0.001);
     expect(groups.get("small")).to.be.closeTo(2, 0.001);
--- a/src/common/replicas/lease_manager.ts
+++ b/src/common/replicas/lease_manager.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps one process's stand towards the lease that covers all orders to
- * engines. The decisions are {@link DomainLease}'s; here its reads and writes
- * are carried out. The record has no groups: engines report those themselves.
+ * Manages one process's part in the lease that covers all orders to engines.
+ * {@link DomainLease} decides; this class carries out its reads and writes. The
+ * record has no groups, since engines report those themselves.
  */
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
@@ -17,16 +17,18 @@
 import type { IClock, ILog, IObjectStore } from "../services/services.ts";
 import type { DaemonId, MonotonicTime } from "../types.ts";
 
-/** The one record; a domain's name in the product's own arrangement. */
+/**
+ * Name of the only record; in the product's own arrangement, a domain's name.
+ */
 const RECORD = "engines";
 
-/** How often time is told to the lease, milliseconds. */
+/** Interval at which the lease is advanced, milliseconds. */
 const TICK = 100;
 
 /**
- * Bounds of the lease, milliseconds. A holder that is cut off is replaced after
- * the lease and the margin, some 2 s, in which no group is healed; renewals
- * cost 2.5 writes a second of the store's some hundred.
+ * Timing of the lease, milliseconds. A holder that is cut off is replaced after
+ * the lease time and the margin, about 2 s, in which no group is repaired.
+ * Renewals take 2.5 of the hundred or so writes a second that the store allows.
  */
 const TIMING: ILeaseTiming = {
   leaseTime: 1_200,
@@ -37,27 +39,28 @@
 };
 
 /**
- * Time between two reads while the holder answers, and while it does not. While
- * it answers, a read could only tell what its next silence will.
+ * Time between two reads while the holder answers, and while it does not,
+ * milliseconds. While it answers, a read shows nothing that its next silence
+ * would not.
  */
 const HEALTHY_READ_PERIOD = 10_000;
-const DOUBT_READ_PERIOD = 300;
+const SILENT_READ_PERIOD = 300;
 
-/** Between a failed write and the next, milliseconds. */
+/** Time between a failed write and the next, milliseconds. */
 const PAUSE_AFTER_FAILURE = 250;
 
-/** What the keeper needs. */
+/** Dependencies of {@link LeaseManager}. */
 export interface ILeaseManagerParts {
   readonly store: IObjectStore;
   readonly clock: IClock;
   readonly log: ILog;
-  /** Whether the holder has answered lately, so that few reads are needed. */
+  /** Whether the holder has answered recently, so that few reads are needed. */
   readonly isHolderHealthy: () => boolean;
   readonly onAcquired: () => void;
   readonly onLost: () => void;
 }
 
-/** The lease as one process keeps it. */
+/** Reads, acquires, renews and releases the lease for one process. */
 export class LeaseManager implements IDisposable {
   readonly #parts: ILeaseManagerParts;
   readonly #process: DaemonId;
@@ -65,11 +68,14 @@
   readonly #owned = new DisposableStore();
   #isReading = false;
   #readAt: MonotonicTime = Number.NEGATIVE_INFINITY;
-  /** No write is sent before; refused ones are paid for as well. */
+  /**
+   * No write is sent before this time, since refused writes are charged as
+   * well.
+   */
   #writeAfter: MonotonicTime = Number.NEGATIVE_INFINITY;
   #isStopped = false;
 
-  /** @param process - names this process; peers reach it by this name */
+  /** @param process - name of this process, by which its peers reach it */
   constructor(process: DaemonId, parts: ILeaseManagerParts) {
     this.#process = process;
     this.#parts = parts;
@@ -81,7 +87,7 @@
     this.#tick();
   }
 
-  /** Whether an order sent at this moment is covered. */
+  /** Whether the lease covers an order sent now. */
   get mayOrder(): boolean {
     return !this.#isStopped && this.#lease.mayOrder(this.#now);
   }
@@ -90,23 +96,25 @@
     return this.#lease.state !== LeaseState.Observing;
   }
 
-  /** The process that holds the lease, as last seen; null for none. */
+  /** The last known holder of the lease; null if there is none. */
   get holder(): DaemonId | null {
     return this.#lease.lastSeen?.record.holder ?? null;
   }
 
-  /** Rises each time the lease changes hands. */
+  /** Increases each time the lease changes hands. */
   get epoch(): number {
     return this.#lease.lastSeen?.record.epoch ?? 0;
   }
 
-  /** The process that held the lease is known to have ended. */
+  /** Handles the known end of the process that held the lease. */
   handleHolderEnded(holder: DaemonId): void {
     this.#lease.handleHolderEnded(holder);
     void this.#read();
   }
 
-  /** Gives the lease back so that another process need not wait for its end. */
+  /**
+   * Releases the lease so that another process need not wait for it to expire.
+   */
   async release(): Promise<void> {
     this.#isStopped = true;
     const actions = this.#lease.release(this.#now);
@@ -125,10 +133,10 @@
 
   #tick(): void {
     this.#performAll(this.#lease.tick(this.#now));
-    const isCalm = this.isHolding || this.#parts.isHolderHealthy();
-    const period = isCalm ? HEALTHY_READ_PERIOD : DOUBT_READ_PERIOD;
+    const isHealthy = this.isHolding || this.#parts.isHolderHealthy();
+    const period = isHealthy ? HEALTHY_READ_PERIOD : SILENT_READ_PERIOD;
     const isFirst = this.#lease.lastSeen === null;
-    const due = this.#readAt + (isFirst ? DOUBT_READ_PERIOD : period);
+    const due = this.#readAt + (isFirst ? SILENT_READ_PERIOD : period);
     if (this.#now >= due && !this.isHolding) {
       void this.#read();
     }
@@ -222,7 +230,7 @@
     this.#performAll(this.#lease.observe(seen, this.#now));
   }
 
-  /** Names this process in the record. */
+  /** Name of this process in the record. */
   get process(): DaemonId {
     return this.#process;
   }
--- a/src/common/replicas/load_allowance.ts
+++ b/src/common/replicas/load_allowance.ts
@@ -1,11 +1,12 @@
 /**
- * Bounds the loads from the weight store. Pattern of load: a domain comes back
- * or many instances arrive, and each needs weights at once; the store then
- * serves all slowly, those of a group that callers wait for among them. The
- * platform bounds the loads that begin in any window, over all processes.
+ * Limits the loads from the weight store. When a domain comes back or many
+ * instances arrive, each needs weights at once, and the store serves all of
+ * them slowly, including those of a group that callers wait for. The platform
+ * bounds the loads that begin in any window, over all processes.
  *
- * A new holder does not know what its predecessor began, so each uses less
- * than half of the bound. Loads before the first caller's request are free.
+ * A new holder does not know which loads its predecessor began, so each uses
+ * less than half of the bound. Loads before the first caller's request do not
+ * count.
  */
 import type { MonotonicTime } from "../types.ts";
 
@@ -16,15 +17,15 @@
   readonly factor: number;
 }
 
-/** Part of the bound for one holder: two may act within a window. */
+/** Share of the bound for one holder, since two may act within a window. */
 const HOLDER_SHARE = 0.45;
 
-/** Loads that the platform allows on top in each window. */
+/** Additional loads that the platform allows in each window. */
 const EXTRA_LOADS = 3;
 
 const MILLISECONDS_A_SECOND = 1_000;
 
-/** The loads that one holder began. */
+/** Counts the loads that one holder began. */
 export class LoadAllowance {
   readonly #bounds: ILoadBounds;
   #startedAt: MonotonicTime[] = [];
@@ -33,7 +34,11 @@
     this.#bounds = bounds;
   }
 
-  /** How many may begin now, at a store's rate of loads a second. */
+  /**
+   * Returns how many loads may begin now.
+   *
+   * @param loadsPerSecond - rate of the weight store
+   */
   remaining(loadsPerSecond: number, now: MonotonicTime): number {
     const { window, factor } = this.#bounds;
     this.#startedAt = this.#startedAt.filter((at) => now - at < window);
--- a/src/common/replicas/load_allowance_test.ts
+++ b/src/common/replicas/load_allowance_test.ts
@@ -4,10 +4,10 @@
 const BOUNDS = { window: 5_000, factor: 1.1 };
 const RATE = 5;
 
-describe("the allowance of loads", () => {
-  // A domain comes back, and its instances all need weights; halfway the lease
-  // changes hands, and the new holder knows nothing of the loads begun. The
-  // weight store would serve all of them slowly.
+describe("LoadAllowance", () => {
+  // Guards against a slow weight store: the instances of a returning domain all
+  // need weights, and halfway the lease passes to a holder that does not know
+  // which loads have begun.
   it("keeps two holders together within the bound of a window", () => {
     const begun = [new LoadAllowance(BOUNDS), new LoadAllowance(BOUNDS)].map(
       (allowance) => {
@@ -25,7 +25,7 @@
     expect(all).to.be.at.least(bound * 0.7);
   });
 
-  it("gives the loads back after the window", () => {
+  it("restores the allowance after the window", () => {
     const allowance = new LoadAllowance(BOUNDS);
     const whole = allowance.remaining(RATE, 0);
     allowance.recordLoad(0);
--- a/src/common/replicas/loaded_models.ts
+++ b/src/common/replicas/loaded_models.ts
@@ -1,21 +1,21 @@
 /**
  * The model of each engine's last group since its start. An engine keeps it
- * after it has left the group, and joins it again at once.
+ * after leaving the group, and can join it again at once.
  */
 import type { InstanceId, MonotonicTime } from "../types.ts";
 import type { IEngineView } from "./engine_registry.ts";
 
-interface ILoaded {
+interface ILoadedModel {
   readonly model: string;
   readonly joinedAt: MonotonicTime;
   readonly startedAt: number;
 }
 
-/** Learned from orders that were accepted, else from reports. */
+/** Tracks loaded models from accepted orders, else from reports. */
 export class LoadedModels {
-  readonly #loaded = new Map<InstanceId, ILoaded>();
+  readonly #loaded = new Map<InstanceId, ILoadedModel>();
 
-  /** The engine has accepted the order to join a group of the model. */
+  /** Records that an engine accepted the order to join a group of the model. */
   recordJoin(view: IEngineView, model: string, now: MonotonicTime): void {
     const { id } = view.target;
     const { startedAt } = view;
@@ -23,16 +23,16 @@
   }
 
   /**
-   * Whether the newest report may be of the time before the engine joined.
+   * Whether the latest report may predate the engine's join.
    *
-   * @param reportLag - milliseconds by which reports describe the past
+   * @param reportLag - milliseconds by which reports lag behind
    */
   isUnconfirmed(view: IEngineView, reportLag: number): boolean {
     const known = this.#loaded.get(view.target.id);
     return known !== undefined && view.askedAt <= known.joinedAt + reportLag;
   }
 
-  /** Null where it is not known to have been in a group. */
+  /** Returns null if the engine is not known to have been in a group. */
   modelOf(view: IEngineView): string | null {
     const known = this.#loaded.get(view.target.id);
     if (known !== undefined && known.startedAt === view.startedAt) {
@@ -41,7 +41,7 @@
     return view.state?.model ?? null;
   }
 
-  /** Forgets engines that are known no longer. */
+  /** Removes engines that are no longer known. */
   retainOnly(views: ReadonlyMap<InstanceId, IEngineView>): void {
     for (const id of this.#loaded.keys()) {
       if (!views.has(id)) {
--- a/src/common/replicas/model_readiness.ts
+++ b/src/common/replicas/model_readiness.ts
@@ -1,19 +1,19 @@
-/** Instances with the models they hold, as the planning of groups sees them. */
+/** Instances and the models they hold, as the planner sees them. */
 import { MemberState } from "../calls/types.ts";
 import type { IModel } from "../calls/types.ts";
 import type { DomainName } from "../types.ts";
 import type { IEngineView } from "./engine_registry.ts";
 
-/** An instance with what it holds. */
+/** An instance and the models it holds. */
 export interface IPlannerEngine {
   readonly view: IEngineView;
-  /** The model of its last group since its start; null without one. */
+  /** The model of its last group since its start; null if there is none. */
   readonly loaded: string | null;
-  /** Whether its report may not show yet what it was last ordered. */
+  /** Whether its report may not show its last order yet. */
   readonly isUnconfirmed: boolean;
 }
 
-/** A group that serves or will. */
+/** A group that serves or will serve. */
 export interface IPlannerGroup {
   readonly group: string;
   readonly model: string;
@@ -22,7 +22,7 @@
   readonly members: readonly IPlannerEngine[];
 }
 
-/** How fast an instance joins a group of a model. */
+/** How fast an instance can join a group of a model. */
 export enum Readiness {
   /** It must load the weights from the weight store. */
   Cold = 0,
@@ -39,7 +39,7 @@
   return isOnHost(engine, model.name) ? Readiness.Staged : Readiness.Cold;
 }
 
-/** Whether it joins a group of the model without a load. */
+/** Whether an instance can join a group of the model without a load. */
 export function canJoinWithoutLoad(
   engine: IPlannerEngine,
   model: IModel,
@@ -47,16 +47,16 @@
   return readiness(engine, model) > Readiness.Cold;
 }
 
-/** Whether the engine still loads the model of its last group. */
+/** Whether the engine is still loading the model of its last group. */
 export function isLoading(engine: IPlannerEngine): boolean {
   const { view, loaded } = engine;
   if (engine.isUnconfirmed) {
     return true;
   }
   const membership = view.state?.membership ?? null;
-  const isIn = membership !== null && view.state?.model === loaded;
+  const isLoaded = membership !== null && view.state?.model === loaded;
   const isJoining = membership?.state === MemberState.Joining;
-  return loaded !== null && (isJoining || (membership !== null && !isIn));
+  return loaded !== null && (isJoining || (membership !== null && !isLoaded));
 }
 
 export function isOnHost({ view }: IPlannerEngine, model: string): boolean {
--- a/src/common/replicas/order_dispatcher.ts
+++ b/src/common/replicas/order_dispatcher.ts
@@ -1,8 +1,7 @@
 /**
- * Sends orders, each again until it has an answer. An order without an answer
- * may be carried out seconds later; sending the same once more is harmless,
- * since groups and epochs name what it is about, while forgetting it would
- * leave a group half formed.
+ * Sends orders, and resends each until it is answered. An unanswered order may
+ * still be carried out seconds later. Resending it is harmless, since it names
+ * its group and epoch, while dropping it would leave a group partly formed.
  */
 import type { IClock } from "../services/services.ts";
 import type { MonotonicTime } from "../types.ts";
@@ -14,10 +13,13 @@
   OrderOutcome,
 } from "./types.ts";
 
-/** An engine answers at once; a cross-zone trip takes some 12 ms. */
+/**
+ * Milliseconds. An engine answers at once; a cross-zone round trip takes about
+ * 12 ms.
+ */
 const ORDER_TIMEOUT = 300;
 
-/** Time between two sendings of the same order, milliseconds. */
+/** Time between two sends of the same order, milliseconds. */
 const RESEND_AFTER = 250;
 
 interface ISentOrder {
@@ -25,7 +27,7 @@
   isInFlight: boolean;
 }
 
-/** Orders on their way, so that none is sent twice at a time. */
+/** Sends orders to engines, never the same one twice at a time. */
 export class OrderDispatcher {
   readonly #engines: IEngineClient;
   readonly #clock: IClock;
@@ -42,7 +44,7 @@
     this.#mayOrder = parts.mayOrder;
   }
 
-  /** Sends unless the same order was sent a moment ago. */
+  /** Sends an order unless the same one was sent a moment ago. */
   send(
     engine: IEngineAddress,
     order: EngineOrder,
--- a/src/common/replicas/plan_groups.ts
+++ b/src/common/replicas/plan_groups.ts
@@ -1,20 +1,21 @@
 /**
- * Which groups to form, which free instances to warm and what to stage.
+ * Decides which groups to form, which free instances to warm and which models
+ * to stage.
  *
- * Pattern of load: members of serving groups are lost for good every few
- * seconds and empty instances arrive about as often. An instance whose last
- * group had a model joins it again in a fifth of a second, one that has the
- * model on its host in a second or two, any other in ten times that. Without
- * spares that have the right model, instances stand loading for most of the
- * day while groups are down; one would notice by open groups that fall over
- * the day while free instances do not.
+ * Members of serving groups are lost for good every few seconds, and empty
+ * instances arrive about as often. An instance rejoins a group of the model of
+ * its last group in 0.2 s, joins one of a model on its host in 1 to 2 s, and
+ * one of any other model in ten times that. Without spares that hold the right
+ * model, instances spend most of the day loading while groups are down, and the
+ * number of open groups falls although instances are free.
  *
- * So each instance is made fit for two models: one by its last group (a free
+ * So each instance is prepared for two models: one by its last group (a free
  * instance is warmed by a group of its own that never opens), the other on its
- * host. Survivors and spares then form whichever model is short. Once callers
- * have come an instance is joined only where it need not load. Beyond the ideal
- * numbers groups form as long as a domain keeps its spares: an instance that
- * the short model cannot use yet serves another meanwhile, and stages besides.
+ * host. Survivors and spares then form groups of whichever model is short. Once
+ * callers have arrived, an instance joins a group only if it need not load.
+ * Beyond the ideal numbers, groups are formed as long as the domain keeps its
+ * spares: an instance that the short model cannot use yet serves another one
+ * meanwhile, and stages as well.
  */
 import type { IModel } from "../calls/types.ts";
 import type { DomainName, InstanceId } from "../types.ts";
@@ -28,81 +29,90 @@
 import { idealGroupCounts } from "./ideal_groups.ts";
 import { findGroupsToReassign } from "./group_reassignment.ts";
 
-/** Part of a model's groups' time from which another's may be turned over. */
-const PRESSURE_TO_REBALANCE = 0.85;
+/**
+ * Share of its groups' time that a model's calls must ask for before groups of
+ * another model are reassigned to it.
+ */
+const REBALANCE_UTILIZATION = 0.85;
 
-/** The same while a group of the model is being given up or formed. */
-const PRESSURE_WHILE_HEALING = 2;
+/** The same while a group of the model is being abandoned or formed. */
+const REBALANCE_UTILIZATION_WHILE_HEALING = 2;
 
-/** Groups that a model lacks of its ideal number before one is turned over. */
-const LACK_TO_REBALANCE = 0.5;
+/**
+ * Groups that a model must lack of its ideal number before one is reassigned.
+ */
+const REBALANCE_DEFICIT = 0.5;
 
-/** Members of groups that one spare stands by for: a tenth to a fifth lost. */
+/**
+ * Group members per spare, sized for the loss of a tenth to a fifth of them.
+ */
 const MEMBERS_PER_SPARE = 4;
 
 /**
- * Part of the loads that run at once that may be of a second model: instances
- * without any go first, and a load that has begun cannot be put off.
+ * Share of the concurrent loads that may be of a second model: instances
+ * without any model go first, and a load that has begun cannot be deferred.
  */
-const SECOND_LOADS_PART = 0.5;
+const SECOND_LOADS_SHARE = 0.5;
 
-/** Part of the instances that are in groups, the rest being spares. */
-const PART_IN_GROUPS = 0.85;
+/** Share of the instances that are in groups; the rest are spares. */
+const SHARE_IN_GROUPS = 0.85;
 
-/** A group to form, before it has a name. */
+/** A group to form; it has no name yet. */
 export interface IProposedGroup {
   readonly model: string;
   readonly members: readonly InstanceId[];
 }
 
-/** A model for one instance. */
+/** A model to prepare on one instance. */
 export interface IProposedModel {
   readonly engine: InstanceId;
   readonly model: string;
 }
 
-/** What is to be done. */
+/** Actions for the caller to carry out. */
 export interface IProposals {
   readonly groups: readonly IProposedGroup[];
-  /** Instances to warm with a model by a group of their own. */
+  /** Instances to warm with a model, each by a group of its own. */
   readonly warmings: readonly IProposedModel[];
-  /** Groups to close so that their members serve a model that is short. */
+  /** Groups to close so that their members can serve a model that is short. */
   readonly closing: readonly string[];
   /** Models to stage on hosts. */
   readonly stagings: readonly IProposedModel[];
 }
 
-/** What stands, for the decision. */
+/** State that the planner decides on. */
 export interface IPlanningInput {
   readonly models: readonly IModel[];
   readonly free: readonly IPlannerEngine[];
-  /** Members of groups that serve. */
+  /** Members of serving groups. */
   readonly serving: readonly IPlannerEngine[];
-  /** Instances that load a model by an order to stage. */
+  /** The model that each instance loads by an order to stage. */
   readonly staging: ReadonlyMap<InstanceId, string>;
-  /** Groups that serve or will, by model and domain. */
+  /** Groups that serve or will serve. */
   readonly activeGroups: readonly IPlannerGroup[];
   /**
-   * Domains in which groups are being closed for a model that is short. Formed
-   * into anything else, their free instances would be missing for it.
+   * Domains in which groups are closing for a model that is short. Their free
+   * instances are kept for it; in other groups they would be missing.
    */
   readonly reservedDomains: ReadonlySet<DomainName>;
-  /** Models of which a group is being given up or formed. */
+  /** Models with a group that is being abandoned or formed. */
   readonly healingModels: ReadonlySet<string>;
-  /** Groups that the calls keep busy, by model. */
+  /** Number of groups that the calls keep busy, by model. */
   readonly demand: ReadonlyMap<string, number>;
-  /** Whether loads are fast and free, since no caller has come yet. */
+  /** Whether loads are fast and unlimited because no caller has arrived yet. */
   readonly isBeforeTraffic: boolean;
-  /** Loads that run at once after callers have come; more slow each other. */
+  /**
+   * Concurrent loads after callers have arrived; more would slow each other.
+   */
   readonly loadsAtOnce: number;
   /** Loads that may begin now. */
   readonly loadsLeft: number;
 }
 
-/** Decides for all domains. */
-export function planGroups(situation: IPlanningInput): IProposals {
-  const planner = new Planner(situation);
-  const domains = byDomain(situation.free);
+/** Plans the groups of all domains. */
+export function planGroups(input: IPlanningInput): IProposals {
+  const planner = new Planner(input);
+  const domains = groupByDomain(input.free);
   for (const [domain, free] of domains) {
     planner.formGroups(domain, free);
   }
@@ -111,29 +121,29 @@
   return planner.proposals;
 }
 
-/** Goes through the domains and keeps what was promised. */
+/** Plans domain by domain and collects the proposals. */
 class Planner {
   readonly #input: IPlanningInput;
-  /** Groups of each model, those proposed included. */
+  /** Number of groups of each model, including proposed ones. */
   readonly #counts = new Map<string, number>();
   #closing: readonly string[] = [];
   readonly #groups: IProposedGroup[] = [];
   readonly #warmings: IProposedModel[] = [];
   readonly #stagings: IProposedModel[] = [];
   readonly #ideal: ReadonlyMap<string, number>;
-  /** Free instances that no group was formed of. */
+  /** Free instances that are in no proposed group. */
   readonly #leftover = new Set<IPlannerEngine>();
 
-  constructor(situation: IPlanningInput) {
-    this.#input = situation;
-    const members = situation.activeGroups.flatMap((group) => group.members);
-    const instances = members.length + situation.free.length;
+  constructor(input: IPlanningInput) {
+    this.#input = input;
+    const members = input.activeGroups.flatMap((group) => group.members);
+    const instances = members.length + input.free.length;
     this.#ideal = idealGroupCounts(
-      situation.models,
-      situation.demand,
-      instances * PART_IN_GROUPS,
+      input.models,
+      input.demand,
+      instances * SHARE_IN_GROUPS,
     );
-    for (const { model } of situation.activeGroups) {
+    for (const { model } of input.activeGroups) {
       this.#counts.set(model, (this.#counts.get(model) ?? 0) + 1);
     }
   }
@@ -147,60 +157,62 @@
     };
   }
 
-  /** Forms groups of the free instances of one domain, as many as are of use. */
+  /** Forms as many useful groups as the free instances of a domain allow. */
   formGroups(domain: DomainName, free: readonly IPlannerEngine[]): void {
-    const left = new Set(free);
-    const standing = this.#groupCountsIn(domain);
+    const available = new Set(free);
+    const groupCounts = this.#groupCountsIn(domain);
     let isFormed = true;
     while (isFormed) {
-      isFormed = this.#formNext(domain, left, standing);
+      isFormed = this.#formNext(domain, available, groupCounts);
     }
-    left.forEach((engine) => this.#leftover.add(engine));
+    available.forEach((engine) => this.#leftover.add(engine));
   }
 
-  /** Closes groups of a model that has room for a model that is short. */
+  /** Closes groups of a model with spare capacity for a model that is short. */
   rebalance(): void {
     const { models, activeGroups, reservedDomains, healingModels } =
       this.#input;
-    const short = this.#scarcest(models);
-    if (short === null || this.#input.isBeforeTraffic) {
+    const shortModel = this.#scarcest(models);
+    if (shortModel === null || this.#input.isBeforeTraffic) {
       return;
     }
-    // One domain at a time, and not for what heals by itself: a lost group is
-    // back in a second or two, and closing others for it meanwhile loses both.
-    const least = healingModels.has(short.name)
-      ? PRESSURE_WHILE_HEALING
-      : PRESSURE_TO_REBALANCE;
-    const isPressed = this.#pressure(short) >= least;
-    const isLacking = -this.#excess(short) >= LACK_TO_REBALANCE;
-    if (isPressed && isLacking && reservedDomains.size === 0) {
+    // Only one domain at a time, and not for a group that recovers by itself:
+    // it is back in a second or two, and closing others for it would lose both.
+    const threshold = healingModels.has(shortModel.name)
+      ? REBALANCE_UTILIZATION_WHILE_HEALING
+      : REBALANCE_UTILIZATION;
+    const isBusy = this.#utilization(shortModel) >= threshold;
+    const hasDeficit = -this.#excess(shortModel) >= REBALANCE_DEFICIT;
+    if (isBusy && hasDeficit && reservedDomains.size === 0) {
       this.#closing = findGroupsToReassign({
-        shortModel: short,
-        activeGroups: activeGroups,
+        shortModel,
+        activeGroups,
         free: [...this.#leftover],
         excess: (name) => this.#excessOf(name),
       });
     }
   }
 
-  /** Warms free instances, and stages a second model wherever one lacks. */
+  /**
+   * Warms free instances, and stages a second model wherever one is missing.
+   */
   prepareHosts(): void {
     for (const engine of this.#leftover) {
       this.#warm(engine);
     }
-    // An instance without any model is of no use yet; members can wait.
+    // An instance without any model cannot be used yet; group members can wait.
     const empty = [...this.#leftover].filter(
       (one) => !this.#holdsAnyModel(one),
     );
-    const others = [...this.#leftover].filter((one) =>
+    const prepared = [...this.#leftover].filter((one) =>
       this.#holdsAnyModel(one),
     );
-    for (const engine of [...empty, ...others, ...this.#input.serving]) {
+    for (const engine of [...empty, ...prepared, ...this.#input.serving]) {
       this.#stage(engine);
     }
   }
 
-  /** Groups a model in one domain. */
+  /** Number of groups of each model in one domain. */
   #groupCountsIn(domain: DomainName): Map<string, number> {
     const counts = new Map<string, number>();
     for (const group of this.#input.activeGroups) {
@@ -211,73 +223,75 @@
     return counts;
   }
 
-  /** Forms one group if there is a use for it and there are the members. */
+  /** Forms one group if one is needed and enough members are free. */
   #formNext(
     domain: DomainName,
-    left: Set<IPlannerEngine>,
-    standing: Map<string, number>,
+    available: Set<IPlannerEngine>,
+    groupCounts: Map<string, number>,
   ): boolean {
-    const byNeed = this.#byNeed(standing);
+    const byNeed = this.#byNeed(groupCounts);
     const isReserved = this.#input.reservedDomains.has(domain);
     for (const model of isReserved ? byNeed.slice(0, 1) : byNeed) {
-      const members = this.#membersFor(model, left, standing);
+      const members = this.#selectMembers(model, available, groupCounts);
       if (members !== null) {
-        members.forEach((member) => left.delete(member));
+        members.forEach((member) => available.delete(member));
         const ids = members.map(({ view }) => view.target.id);
         this.#groups.push({ model: model.name, members: ids });
         this.#counts.set(model.name, this.#groupCount(model) + 1);
-        standing.set(model.name, (standing.get(model.name) ?? 0) + 1);
+        groupCounts.set(model.name, (groupCounts.get(model.name) ?? 0) + 1);
         return true;
       }
     }
     return false;
   }
 
-  #membersFor(
+  #selectMembers(
     model: IModel,
-    left: ReadonlySet<IPlannerEngine>,
-    standing: ReadonlyMap<string, number>,
+    available: ReadonlySet<IPlannerEngine>,
+    groupCounts: ReadonlyMap<string, number>,
   ): readonly IPlannerEngine[] | null {
     const { isBeforeTraffic } = this.#input;
-    const fit = [...left].filter(
+    const candidates = [...available].filter(
       (engine) => isBeforeTraffic || readiness(engine, model) > Readiness.Cold,
     );
-    if (fit.length < model.size) {
+    if (candidates.length < model.size) {
       return null;
     }
-    const useful = [...left].filter((one) => this.#holdsAnyModel(one));
-    const spares = isBeforeTraffic ? left.size : useful.length;
+    const withModel = [...available].filter((one) => this.#holdsAnyModel(one));
+    const spares = isBeforeTraffic ? available.size : withModel.length;
     const isShort = !isBeforeTraffic && this.#excess(model) < 0;
-    if (!isShort && !this.#leavesSpares(model, spares, standing)) {
+    if (!isShort && !this.#keepsSpares(model, spares, groupCounts)) {
       return null;
     }
-    fit.sort((one, other) => readiness(other, model) - readiness(one, model));
-    return fit.slice(0, model.size);
+    candidates.sort(
+      (one, other) => readiness(other, model) - readiness(one, model),
+    );
+    return candidates.slice(0, model.size);
   }
 
-  /** Whether a domain keeps its spares with one group more of a model. */
-  #leavesSpares(
+  /** Whether a domain keeps its spares after one more group of a model. */
+  #keepsSpares(
     model: IModel,
-    left: number,
-    standing: ReadonlyMap<string, number>,
+    available: number,
+    groupCounts: ReadonlyMap<string, number>,
   ): boolean {
     let members = model.size;
     for (const { name, size } of this.#input.models) {
-      members += (standing.get(name) ?? 0) * size;
+      members += (groupCounts.get(name) ?? 0) * size;
     }
-    return left - model.size >= Math.floor(members / MEMBERS_PER_SPARE);
+    return available - model.size >= Math.floor(members / MEMBERS_PER_SPARE);
   }
 
-  /** Gives a free instance that was in no group yet one of its own. */
+  /** Proposes a group of its own for a free instance that has been in none. */
   #warm(engine: IPlannerEngine): void {
     const { models, isBeforeTraffic } = this.#input;
     if (engine.loaded !== null) {
       return;
     }
-    const known = models.filter(
+    const candidates = models.filter(
       (model) => isBeforeTraffic || readiness(engine, model) > Readiness.Cold,
     );
-    const model = this.#scarcest(known);
+    const model = this.#scarcest(candidates);
     if (model !== null) {
       const { id } = engine.view.target;
       this.#warmings.push({ engine: id, model: model.name });
@@ -288,25 +302,27 @@
     const { models, staging, isBeforeTraffic, loadsLeft, loadsAtOnce } =
       this.#input;
     const { id } = engine.view.target;
-    const begun = staging.size + this.#stagings.length;
-    const part = this.#holdsAnyModel(engine) ? SECOND_LOADS_PART : 1;
-    const most = Math.max(1, Math.floor(loadsAtOnce * part));
+    const started = staging.size + this.#stagings.length;
+    const share = this.#holdsAnyModel(engine) ? SECOND_LOADS_SHARE : 1;
+    const maxLoads = Math.max(1, Math.floor(loadsAtOnce * share));
     const mayLoad =
-      isBeforeTraffic || (begun < most && this.#stagings.length < loadsLeft);
+      isBeforeTraffic ||
+      (started < maxLoads && this.#stagings.length < loadsLeft);
     const isWarmed = this.#warmings.some((warming) => warming.engine === id);
-    // The host keeps few models: what a join still loads would push it out.
+    // The host keeps few models: one that a join is still loading would evict
+    // this one.
     if (staging.has(id) || isWarmed || isLoading(engine) || !mayLoad) {
       return;
     }
-    const lacking = models.filter(
+    const missing = models.filter(
       (model) => readiness(engine, model) === Readiness.Cold,
     );
-    const holds = models.length - lacking.length;
-    const hostIsOfUse = models.some(
+    const heldCount = models.length - missing.length;
+    const hostHasOther = models.some(
       ({ name }) => name !== engine.loaded && isOnHost(engine, name),
     );
-    const model = this.#scarcest(lacking);
-    if (model !== null && !hostIsOfUse && holds < HELD_MODELS) {
+    const model = this.#scarcest(missing);
+    if (model !== null && !hostHasOther && heldCount < MAX_HELD_MODELS) {
       this.#stagings.push({ engine: id, model: model.name });
     }
   }
@@ -317,30 +333,34 @@
     );
   }
 
-  /** Models in order of need: before traffic those that this domain lacks. */
-  #byNeed(standing: ReadonlyMap<string, number>): readonly IModel[] {
+  /**
+   * Models in order of need; before traffic, those that this domain lacks
+   * first.
+   */
+  #byNeed(groupCounts: ReadonlyMap<string, number>): readonly IModel[] {
     return [...this.#input.models].sort(
-      (one, other) => this.#need(other, standing) - this.#need(one, standing),
+      (one, other) =>
+        this.#need(other, groupCounts) - this.#need(one, groupCounts),
     );
   }
 
-  #need(model: IModel, standing: ReadonlyMap<string, number>): number {
+  #need(model: IModel, groupCounts: ReadonlyMap<string, number>): number {
     if (!this.#input.isBeforeTraffic) {
       return -this.#idealFraction(model);
     }
-    // Nothing is known of the demand yet but the shares: instances are divided
-    // by them, in each domain alike.
-    const groups = standing.get(model.name) ?? 0;
+    // Only the shares are known of the demand yet, so each domain's instances
+    // are divided by them.
+    const groups = groupCounts.get(model.name) ?? 0;
     return model.share / ((groups + 0.5) * model.size);
   }
 
-  /** Part of its groups' time that a model's calls ask for. */
-  #pressure(model: IModel): number {
+  /** Share of its groups' time that a model's calls ask for. */
+  #utilization(model: IModel): number {
     const demand = this.#input.demand.get(model.name) ?? 0;
     return demand / Math.max(this.#groupCount(model), 0.5);
   }
 
-  /** Groups beyond the ideal number; negative where there are too few. */
+  /** Groups beyond the ideal number; negative if there are too few. */
   #excess(model: IModel): number {
     return this.#excessOf(model.name);
   }
@@ -349,15 +369,15 @@
     return (this.#counts.get(name) ?? 0) - (this.#ideal.get(name) ?? 0);
   }
 
-  /** The model that lacks the largest part of its ideal number. */
+  /** The model with the smallest fraction of its ideal number of groups. */
   #scarcest(models: readonly IModel[]): IModel | null {
-    const [shortest] = [...models].sort(
+    const [scarcest] = [...models].sort(
       (one, other) => this.#idealFraction(one) - this.#idealFraction(other),
     );
-    return shortest ?? null;
+    return scarcest ?? null;
   }
 
-  /** Part of its ideal number of groups that a model has. */
+  /** Fraction of its ideal number of groups that a model has. */
   #idealFraction(model: IModel): number {
     const ideal = this.#ideal.get(model.name) ?? 0;
     return ideal === 0
@@ -370,10 +390,12 @@
   }
 }
 
-/** Models that an instance holds: of its last group, and on its host. */
-const HELD_MODELS = 2;
+/**
+ * Models that an instance holds: that of its last group, and one on its host.
+ */
+const MAX_HELD_MODELS = 2;
 
-function byDomain(
+function groupByDomain(
   free: readonly IPlannerEngine[],
 ): ReadonlyMap<DomainName, IPlannerEngine[]> {
   const domains = new Map<DomainName, IPlannerEngine[]>();
--- a/src/common/replicas/plan_groups_test.ts
+++ b/src/common/replicas/plan_groups_test.ts
@@ -10,8 +10,11 @@
   SMALL,
 } from "../../../test/support/engines.ts";
 
-/** An engine that holds models; the first by its last group. */
-function holding(
+/**
+ * An engine that holds models: `loaded` by its last group, `staged` on its
+ * host.
+ */
+function engineWith(
   id: string,
   loaded: string | null,
   staged: readonly string[] = [],
@@ -26,15 +29,15 @@
   staged: readonly string[] = [],
 ): readonly IPlannerEngine[] {
   return Array.from({ length: count }, (_, index) =>
-    holding(`${loaded}-${index}`, loaded, staged),
+    engineWith(`${loaded}-${index}`, loaded, staged),
   );
 }
 
-function standing(model: string, group: string): IPlannerGroup {
+function activeGroup(model: string, group: string): IPlannerGroup {
   const size = model === "large" ? LARGE.size : SMALL.size;
   const other = model === "large" ? "small" : "large";
   const members = Array.from({ length: size }, (_, index) =>
-    holding(`${group}-${index}`, model, [other]),
+    engineWith(`${group}-${index}`, model, [other]),
   );
   return {
     group,
@@ -45,7 +48,7 @@
   };
 }
 
-function situation(part: Partial<IPlanningInput>): IPlanningInput {
+function inputWith(part: Partial<IPlanningInput>): IPlanningInput {
   return {
     models: [LARGE, SMALL],
     free: [],
@@ -65,28 +68,29 @@
   };
 }
 
-describe("planning replica groups", () => {
-  it("divides a domain and keeps spares before callers come", () => {
+describe("planGroups", () => {
+  it("divides a domain and keeps spares before callers arrive", () => {
     const free = many(10, null);
-    const { groups } = planGroups(situation({ free, isBeforeTraffic: true }));
+    const { groups } = planGroups(inputWith({ free, isBeforeTraffic: true }));
     const models = groups.map(({ model }) => model).sort();
     expect(models).to.deep.equal(["large", "small", "small"]);
   });
 
-  // A member of a large group is lost, and an empty instance has just arrived.
-  // Joining it would stop the three survivors for the sixteen seconds of its
-  // load.
+  // Guards against stopping the three survivors of a large group for the
+  // sixteen seconds that an empty instance takes to load.
   it("does not join an instance that would have to load", () => {
-    const free = [...many(3, "large"), holding("new", null)];
-    const { groups, stagings } = planGroups(situation({ free }));
+    const free = [...many(3, "large"), engineWith("new", null)];
+    const { groups, stagings } = planGroups(inputWith({ free }));
     expect(groups.filter(({ model }) => model === "large")).to.deep.equal([]);
     expect(stagings.map(({ engine }) => engine)).to.include("new");
   });
 
-  it("heals with a spare that has the model on its host", () => {
-    const free = [...many(3, "large"), holding("spare", "small", ["large"])];
-    const stands = ["a", "b", "c"].map((name) => standing("small", name));
-    const plan = planGroups(situation({ free, activeGroups: stands }));
+  it("replaces a lost member with a spare that has the model on its host", () => {
+    const free = [...many(3, "large"), engineWith("spare", "small", ["large"])];
+    const activeGroups = ["a", "b", "c"].map((name) =>
+      activeGroup("small", name),
+    );
+    const plan = planGroups(inputWith({ free, activeGroups }));
     expect(plan.groups).to.deep.equal([
       {
         model: "large",
@@ -95,15 +99,15 @@
     ]);
   });
 
-  // The large model has lost its groups one by one, and its callers queue,
-  // while the small one has more groups than its calls fill.
-  it("turns a group over to a model that is short", () => {
-    const stands = ["a", "b", "c", "d", "e", "f"].map((name) =>
-      standing("small", name),
+  // Guards against queues for the large model, which has lost its groups one by
+  // one, while the small one has more groups than its calls fill.
+  it("reassigns a group to a model that is short", () => {
+    const activeGroups = ["a", "b", "c", "d", "e", "f"].map((name) =>
+      activeGroup("small", name),
     );
     const plan = planGroups(
-      situation({
-        activeGroups: [...stands, standing("large", "g")],
+      inputWith({
+        activeGroups: [...activeGroups, activeGroup("large", "g")],
         free: many(2, "large", ["small"]),
         demand: new Map([
           ["large", 2],
@@ -115,15 +119,15 @@
     expect(plan.closing[0]).to.be.oneOf(["a", "b", "c", "d", "e", "f"]);
   });
 
-  // The same with nothing free. One small group alone does not make a large
-  // one; without a second the large model's callers wait for a load.
-  it("turns several small groups over to a large one", () => {
-    const stands = ["a", "b", "c", "d", "e", "f"].map((name) =>
-      standing("small", name),
+  // The same with nothing free: one small group is not enough for a large one,
+  // and without a second the large model's callers wait for a load.
+  it("reassigns several small groups to a large one", () => {
+    const activeGroups = ["a", "b", "c", "d", "e", "f"].map((name) =>
+      activeGroup("small", name),
     );
     const plan = planGroups(
-      situation({
-        activeGroups: stands,
+      inputWith({
+        activeGroups,
         demand: new Map([
           ["large", 2],
           ["small", 1],
@@ -133,14 +137,14 @@
     expect(plan.closing).to.have.length(2);
   });
 
-  // The large model is short, but nothing free holds it. Four instances with the
-  // small one would stand idle for the length of a load.
-  it("forms what the free instances hold rather than leave them idle", () => {
+  // Guards against four instances that hold the small model being idle for the
+  // length of a load when the large model is short but nothing free holds it.
+  it("forms groups of models that free instances hold rather than leaving them idle", () => {
     const free = many(4, "small");
     const plan = planGroups(
-      situation({
+      inputWith({
         free,
-        activeGroups: ["a", "b"].map((name) => standing("small", name)),
+        activeGroups: ["a", "b"].map((name) => activeGroup("small", name)),
         demand: new Map([
           ["large", 4],
           ["small", 1],
@@ -150,18 +154,18 @@
     expect(plan.groups.map(({ model }) => model)).to.deep.equal(["small"]);
   });
 
-  // Two small groups are being closed for a large one. Meanwhile the free
-  // instances of their domain make another small one, and when the two have
-  // closed there are too few members: the large model's callers wait on.
-  it("keeps the instances of a domain that is being turned over", () => {
+  // Guards against another small group of a domain's free instances while two
+  // small groups close there for a large one: it would leave too few members,
+  // and the large model's callers would keep waiting.
+  it("reserves the instances of a domain whose groups are being reassigned", () => {
     const free = many(4, "small");
-    const stands = [standing("small", "a"), standing("small", "b")];
-    const reserved = new Set(["domain"]);
+    const activeGroups = [activeGroup("small", "a"), activeGroup("small", "b")];
+    const reservedDomains = new Set(["domain"]);
     const plan = planGroups(
-      situation({
+      inputWith({
         free,
-        activeGroups: stands,
-        reservedDomains: reserved,
+        activeGroups,
+        reservedDomains,
         demand: new Map([
           ["large", 4],
           ["small", 1],
@@ -172,30 +176,28 @@
     expect(plan.closing).to.deep.equal([]);
   });
 
-  // A large group has just lost a member, and its survivors join a new one.
-  // Closing small groups for it as well would take seconds of their time for
-  // what is back sooner by itself.
-  it("turns nothing over for a model that heals by itself", () => {
+  // Guards against closing small groups for a large one that has just lost a
+  // member: its survivors join a new one sooner, and closing takes seconds of
+  // the small groups' time.
+  it("reassigns no group to a model that recovers by itself", () => {
     const names = ["a", "b", "c", "d", "e", "f"];
-    const stands = names.map((name) => standing("small", name));
-    const calm = situation({
-      activeGroups: [...stands, standing("large", "g")],
+    const activeGroups = names.map((name) => activeGroup("small", name));
+    const calm = inputWith({
+      activeGroups: [...activeGroups, activeGroup("large", "g")],
       demand: new Map([
         ["large", 1.5],
         ["small", 1],
       ]),
     });
     expect(planGroups(calm).closing).to.have.length(2);
-    const healing = new Set(["large"]);
-    expect(
-      planGroups({ ...calm, healingModels: healing }).closing,
-    ).to.deep.equal([]);
+    const healingModels = new Set(["large"]);
+    expect(planGroups({ ...calm, healingModels }).closing).to.deep.equal([]);
   });
 
-  it("leaves groups alone while each model has its part", () => {
+  it("keeps all groups while each model has its share", () => {
     const plan = planGroups(
-      situation({
-        activeGroups: [standing("small", "a"), standing("large", "b")],
+      inputWith({
+        activeGroups: [activeGroup("small", "a"), activeGroup("large", "b")],
         free: many(2, "large", ["small"]),
         demand: new Map([
           ["large", 0.5],
@@ -206,37 +208,40 @@
     expect(plan.closing).to.deep.equal([]);
   });
 
-  it("warms a free instance with what its host has", () => {
-    const free = [holding("spare", null, ["small"])];
-    const { warmings } = planGroups(situation({ free }));
+  it("warms a free instance with the model on its host", () => {
+    const free = [engineWith("spare", null, ["small"])];
+    const { warmings } = planGroups(inputWith({ free }));
     expect(warmings).to.deep.equal([{ engine: "spare", model: "small" }]);
   });
 
-  // A host keeps one model. Staging a second while a join still loads the
-  // first lets whichever ends last push the other out.
+  // Guards against staging a second model while a join still loads the first: a
+  // host keeps one model, so whichever load ends last evicts the other.
   it("stages a second model only when the first is loaded", () => {
     const state = engineState({
       membership: { group: "g", epoch: 1, rank: 0, state: MemberState.Joining },
     });
     const view = engineView("spare", { state });
     const joining = { view, loaded: "small", isUnconfirmed: false };
-    expect(planGroups(situation({ free: [joining] })).stagings).to.deep.equal(
+    expect(planGroups(inputWith({ free: [joining] })).stagings).to.deep.equal(
       [],
     );
-    const unconfirmed = { ...holding("spare", "small"), isUnconfirmed: true };
-    const plan = planGroups(situation({ free: [unconfirmed] }));
+    const unconfirmed = {
+      ...engineWith("spare", "small"),
+      isUnconfirmed: true,
+    };
+    const plan = planGroups(inputWith({ free: [unconfirmed] }));
     expect(plan.stagings).to.deep.equal([]);
-    const loaded = holding("spare", "small");
-    expect(planGroups(situation({ free: [loaded] })).stagings).to.deep.equal([
+    const loaded = engineWith("spare", "small");
+    expect(planGroups(inputWith({ free: [loaded] })).stagings).to.deep.equal([
       { engine: "spare", model: "large" },
     ]);
   });
 
   it("begins no more loads than are left", () => {
     const free = Array.from({ length: 5 }, (_, index) =>
-      holding(`new-${index}`, null),
+      engineWith(`new-${index}`, null),
     );
-    const { stagings } = planGroups(situation({ free, loadsLeft: 2 }));
+    const { stagings } = planGroups(inputWith({ free, loadsLeft: 2 }));
     expect(stagings).to.have.length(2);
   });
 });
--- a/src/common/replicas/process_count.ts
+++ b/src/common/replicas/process_count.ts
@@ -1,31 +1,32 @@
 /**
- * How many processes share what the platform allows to all of them together.
+ * Counts the processes that share what the platform allows all of them
+ * together.
  *
- * A process that has just started, or has just taken the lease, hears of no
- * other for a moment. Were it to count itself alone then, it would take the
- * whole of the allowance for itself, and several at once would break it: one
- * would notice more repeats than the platform's bound after each restart. So
- * the largest number of late counts, and many before any was heard.
+ * A process that has just started, or has just acquired the lease, does not
+ * know of others for a moment. If it counted itself alone then, it would use
+ * the whole allowance, and several such processes would exceed the platform's
+ * bound on retries after each restart. So the largest recent number counts, and
+ * a large one is assumed before any is known.
  */
 import type { MonotonicTime } from "../types.ts";
 
-/** Assumed before anything was heard: the share of each is next to nothing. */
+/** Assumed before the number is known; the share of each is next to nothing. */
 export const INITIAL_PROCESS_COUNT = 100;
 
-/** A larger number is kept for so long, milliseconds: the bounds' window. */
+/** How long a larger number is kept, milliseconds: the window of the bounds. */
 const MAXIMUM_LIFETIME = 15_000;
 
-/** The number as one process believes it. */
+/** The number of processes as known to one of them. */
 export class ProcessCount {
   #count = INITIAL_PROCESS_COUNT;
   #updatedAt: MonotonicTime | null = null;
 
-  /** @param heard - processes heard of now, 0 when that is not known */
-  update(heard: number, now: MonotonicTime): number {
+  /** @param known - processes known now, 0 if their number is unknown */
+  update(known: number, now: MonotonicTime): number {
     const isOld =
       this.#updatedAt === null || now - this.#updatedAt > MAXIMUM_LIFETIME;
-    if (heard > 0 && (heard >= this.#count || isOld)) {
-      this.#count = heard;
+    if (known > 0 && (known >= this.#count || isOld)) {
+      this.#count = known;
       this.#updatedAt = now;
     }
     return this.#count;
--- a/src/common/replicas/process_reports.ts
+++ b/src/common/replicas/process_reports.ts
@@ -1,8 +1,10 @@
-/** What the lease holder last heard of each process. */
+/** The latest report of each process to the lease holder. */
 import type { MonotonicTime } from "../types.ts";
 import type { IProcessReport } from "./exchange.ts";
 
-/** A process that was not heard of for so long is not counted, milliseconds. */
+/**
+ * Time after which a process without a new report is not counted, milliseconds.
+ */
 const REPORT_LIFETIME = 1_500;
 
 interface IReceivedReport {
@@ -10,15 +12,15 @@
   readonly receivedAt: MonotonicTime;
 }
 
-/** Words of all processes but the holder. */
+/** Reports of all processes except the holder. */
 export class ProcessReports {
   readonly #reports = new Map<string, IReceivedReport>();
 
   record(report: IProcessReport, now: MonotonicTime): void {
-    this.#reports.set(report.process, { report: report, receivedAt: now });
+    this.#reports.set(report.process, { report, receivedAt: now });
   }
 
-  /** Those heard of lately. */
+  /** Returns the recent reports and removes the others. */
   recent(now: MonotonicTime): readonly IProcessReport[] {
     for (const [process, { receivedAt }] of this.#reports) {
       if (now - receivedAt > REPORT_LIFETIME) {
@@ -29,7 +31,7 @@
   }
 }
 
-/** Adds up requests in flight, by group. */
+/** Adds up requests in flight by group. */
 export function sumInFlight(
   reports: readonly Pick<IProcessReport, "inFlight">[],
 ): Map<string, number> {
--- a/src/common/replicas/replica_group.ts
+++ b/src/common/replicas/replica_group.ts
@@ -1,6 +1,6 @@
 /**
  * One replica group from the first order to join until its members are free:
- * what is known of its members, and the next orders.
+ * what is known of its members, and what is wrong with them.
  */
 import { MemberState } from "../calls/types.ts";
 import type { IMembership } from "../calls/types.ts";
@@ -8,20 +8,23 @@
 import type { IEngineView } from "./engine_registry.ts";
 import type { IGroupPlan } from "./types.ts";
 
-/** Where a group stands. */
+/** Lifecycle phase of a group. */
 export enum GroupPhase {
   /** Its members join and load. */
   Forming = "forming",
-  /** All members are ready; the head is told to open. */
+  /** All members are ready; the head is ordered to open. */
   Opening = "opening",
   Serving = "serving",
-  /** A member leaves: the head takes nothing new and finishes. */
+  /**
+   * A member leaves: the head takes no new requests and finishes its running
+   * ones.
+   */
   Closing = "closing",
-  /** The head is told to leave; then the members are free. */
+  /** The head is ordered to leave; then the members are free. */
   Dissolving = "dissolving",
 }
 
-/** Why a group does not stay as it is. */
+/** Why a group cannot continue as it is. */
 export enum GroupTrouble {
   MemberSilent = "member_silent",
   MemberGone = "member_gone",
@@ -32,24 +35,24 @@
   Incomplete = "incomplete",
   TooSlow = "too_slow",
   OrderRefused = "order_refused",
-  /** One far slower than its peers holds the others back. */
+  /** A member far slower than its peers holds the others back. */
   MemberSlow = "member_slow",
-  /** Nothing is wrong: its members are needed for another model. */
+  /** Not a fault: its members are needed for another model. */
   Reassigned = "turned_over",
 }
 
-/** A group as the lease holder keeps it. */
+/** A group as managed by the lease holder. */
 export interface IReplicaGroup {
   readonly plan: IGroupPlan;
   readonly domain: DomainName;
-  /** Start of each member's process when it was planned. */
+  /** Start of each member's process when the group was planned. */
   readonly starts: ReadonlyMap<InstanceId, number>;
   phase: GroupPhase;
   phaseSince: MonotonicTime;
-  /** Members that have accepted the order to join, and when. */
+  /** When each member accepted the order to join. */
   readonly joined: Map<InstanceId, MonotonicTime>;
   trouble: GroupTrouble | null;
-  /** Null where the head was never seen. */
+  /** Null if the head was never seen. */
   readonly head: InstanceId | null;
   /** When the head acknowledged the order to open; null before. */
   openedAt: MonotonicTime | null;
@@ -57,7 +60,7 @@
   hasLeft: boolean;
 }
 
-/** The membership that an engine reports, if it is of this group. */
+/** Returns the membership that an engine reports, if it is of this group. */
 export function membershipIn(
   group: IReplicaGroup,
   view: IEngineView | undefined,
@@ -71,7 +74,7 @@
   return isSame ? membership : null;
 }
 
-/** Whether a report shows a member as ready, asked for after it had joined. */
+/** Whether a report requested after a member joined shows it as ready. */
 export function isReady(
   group: IReplicaGroup,
   member: InstanceId,
@@ -88,10 +91,10 @@
 }
 
 /**
- * What is wrong with a member; null when nothing is.
+ * Returns what is wrong with a member; null if nothing is.
  *
- * @param reportLag - milliseconds by which a report describes the past: one
- *   asked for just after the order to join may not show it yet
+ * @param reportLag - milliseconds by which reports lag behind: one requested
+ *   just after the order to join may not show it yet
  */
 export function troubleOf(
   group: IReplicaGroup,
@@ -123,8 +126,9 @@
   if (membershipIn(group, view)?.state === MemberState.Broken) {
     return GroupTrouble.HeadBroken;
   }
-  // One that leaves the list but answers goes on serving for a while: given up
-  // at once, its group would break off streams that it could finish.
+  // A member that leaves the list but answers keeps serving for a while. If its
+  // group were abandoned at once, streams that it could finish would be
+  // interrupted.
   const isLeaving = view.isDraining || !view.isListed;
   return isLeaving ? GroupTrouble.MemberDraining : null;
 }
--- a/src/common/replicas/replica_service.ts
+++ b/src/common/replicas/replica_service.ts
@@ -1,7 +1,6 @@
 /**
- * Orders the engines of one service into replica groups while this process
- * holds the lease: asks engines for reports, and sends the orders that the
- * decisions ask for.
+ * Manages the replica groups of one service while this process holds the lease:
+ * polls the engines for reports, plans groups, and sends the resulting orders.
  */
 import type { IServingGroup } from "../calls/serving_groups.ts";
 import type { IEngineProfile, IListedTarget, IModel } from "../calls/types.ts";
@@ -37,16 +36,19 @@
 import { OrderKind, OrderOutcome } from "./types.ts";
 import type { EngineOrder, IEngineClient, IGroupPlan } from "./types.ts";
 
-/** Beyond the published time until an opened head is sent requests. */
+/**
+ * Time beyond the published open time until an opened head is sent requests,
+ * milliseconds.
+ */
 const OPEN_MARGIN = 20;
 
-/** How often engines and groups are looked at, milliseconds. */
+/** Interval between passes over engines and groups, milliseconds. */
 const TICK = 50;
 
-/** How often what each domain has is logged, milliseconds. */
+/** Interval at which the state of each domain is logged, milliseconds. */
 const SUMMARY_PERIOD = 2_000;
 
-/** What the service needs. */
+/** Dependencies of {@link ReplicaService}. */
 export interface IReplicaServiceParts {
   readonly engines: IEngineClient;
   readonly clock: IClock;
@@ -55,22 +57,22 @@
   readonly listedTargets: () => readonly IListedTarget[];
   readonly engine: () => IEngineProfile | null;
   readonly mayOrder: () => boolean;
-  /** A number that no other group has. */
+  /** Returns a number that no other group has. */
   readonly nextEpoch: () => number;
-  /** Groups that the calls of all processes keep busy, by model. */
+  /** Number of groups that the calls of all processes keep busy, by model. */
   readonly demand: () => ReadonlyMap<string, number>;
   readonly isBeforeTraffic: () => boolean;
   readonly onTableChanged: () => void;
 }
 
-/** Bounds that the platform sets. */
+/** Bounds set by the platform. */
 export interface IReplicaBounds {
-  /** Milliseconds after which a group without a member breaks. */
+  /** Milliseconds after which a group that lacks a member breaks. */
   readonly stallTime: number;
   readonly loads: ILoadBounds;
 }
 
-/** The groups of one service, while this process holds the lease. */
+/** Manages the groups of one service while this process holds the lease. */
 export class ReplicaService implements IDisposable {
   readonly #service: ServiceName;
   readonly #parts: IReplicaServiceParts;
@@ -82,10 +84,10 @@
   readonly #staging = new StagingTracker();
   readonly #loadedModels = new LoadedModels();
   readonly #demand = new SmoothedDemand();
-  /** Engines with an order to warm on its way. */
+  /** Engines with an order to warm in flight. */
   readonly #warming = new Set<InstanceId>();
   #hasReconciled = false;
-  /** Paces of the serving groups, as last told. */
+  /** Paces of the serving groups when the table was last published. */
   #paces = "";
 
   constructor(
@@ -119,17 +121,20 @@
     this.#owned.dispose();
   }
 
-  /** Processes found groups standing still: their members are asked at once. */
+  /** Polls the members of groups that processes found stalled, at once. */
   suspectGroups(groups: readonly string[]): void {
     this.#monitor.suspectGroups(groups);
   }
 
-  /** Whether the groups that stand were looked for, so that the table is whole. */
+  /**
+   * Whether existing groups have been searched for, so that the table is
+   * complete.
+   */
   get hasReconciled(): boolean {
     return this.#hasReconciled;
   }
 
-  /** The groups that take requests. */
+  /** Groups that take requests. */
   get servingGroups(): readonly IServingGroup[] {
     const slots = this.#parts.engine()?.slots ?? 0;
     const options = { service: this.#service, slots };
@@ -140,7 +145,7 @@
     );
   }
 
-  /** Groups that were given up of late: nothing more comes from them. */
+  /** Recently abandoned groups: no more output comes from them. */
   get abandonedGroups(): readonly string[] {
     return this.#controller.abandonedGroups(this.#now);
   }
@@ -151,10 +156,10 @@
     if (!this.#monitor.isSurveyComplete || this.#monitor.isOwnLinkSuspect) {
       return;
     }
-    // Also while the lease is in doubt: a group that lost a member must get no
-    // more requests, though nothing can be ordered about it.
+    // Runs while the lease is in doubt as well: a group that lost a member must
+    // get no more requests, even if no order can be sent about it.
     const orders = this.#controller.reconcile(this.#monitor.views, now);
-    const isFirstLook = !this.#hasReconciled;
+    const isFirstPass = !this.#hasReconciled;
     this.#hasReconciled = true;
     for (const order of orders) {
       this.#sendOrder(order);
@@ -162,7 +167,7 @@
     if (this.#parts.mayOrder()) {
       this.#plan(now);
     }
-    this.#reportChanges(isFirstLook);
+    this.#publishChanges(isFirstPass);
   }
 
   #plan(now: MonotonicTime): void {
@@ -178,7 +183,7 @@
       .freeEngines(views)
       .filter(({ target }) => !slow.has(target.id))
       .map((view) => this.#plannerEngine(view));
-    this.#replaceSlow(engine, { free, slow });
+    this.#replaceSlowGroups(engine, { free, slow });
     const groups = this.#controller.groups;
     const proposals = planGroups({
       models: engine.models,
@@ -216,7 +221,7 @@
     }
   }
 
-  /** Models of which a group is being given up or formed. */
+  /** Models with a group that is being abandoned or formed. */
   #healingModels(): ReadonlySet<string> {
     const healing = this.#controller.groups.filter(
       ({ phase, trouble }) =>
@@ -225,8 +230,8 @@
     return new Set(healing.map(({ plan }) => plan.model));
   }
 
-  /** Gives up groups that slow members hold back, where others can be formed. */
-  #replaceSlow(
+  /** Abandons groups held back by slow members where others can be formed. */
+  #replaceSlowGroups(
     { models }: IEngineProfile,
     engines: {
       readonly free: readonly IPlannerEngine[];
@@ -234,10 +239,14 @@
     },
   ): void {
     const views = this.#monitor.views;
-    const standing = this.#controller.groups
+    const activeGroups = this.#controller.groups
       .filter(({ phase }) => phase !== GroupPhase.Dissolving)
       .map((group) => this.#plannerGroup(group, views));
-    for (const name of findGroupsToReplace({ models, standing, ...engines })) {
+    for (const name of findGroupsToReplace({
+      models,
+      activeGroups,
+      ...engines,
+    })) {
       this.#controller.abandon(name, GroupTrouble.MemberSlow, this.#now);
     }
   }
@@ -273,8 +282,8 @@
   }
 
   /**
-   * Joins a free engine to a group of its own, which is never opened, so that
-   * the model is loaded when a member is needed.
+   * Joins a free engine to a group of its own, which never opens, so that the
+   * model is loaded when a member is needed.
    */
   #warm(id: InstanceId, model: string): void {
     if (this.#warming.has(id)) {
@@ -310,10 +319,10 @@
       about: subjectOf(order),
       outcome,
     });
-    const isTaken = outcome === OrderOutcome.Accepted;
-    if (order.kind === OrderKind.Open && isTaken) {
+    const isAccepted = outcome === OrderOutcome.Accepted;
+    if (order.kind === OrderKind.Open && isAccepted) {
       this.#controller.handleOpened(order.group, this.#now);
-    } else if (order.kind === OrderKind.Leave && isTaken) {
+    } else if (order.kind === OrderKind.Leave && isAccepted) {
       this.#controller.handleLeft(order.group);
     } else if (order.kind === OrderKind.Join) {
       this.#warming.delete(engine);
@@ -334,7 +343,10 @@
     }
   }
 
-  /** A line a domain: its groups, and its free instances by what they hold. */
+  /**
+   * Logs one line per domain: its groups, and its free instances by the models
+   * they hold.
+   */
   #logDomains(): void {
     if (!this.#monitor.isSurveyComplete) {
       return;
@@ -351,19 +363,19 @@
     }
   }
 
-  #reportChanges(isFirstLook: boolean): void {
+  #publishChanges(isFirstPass: boolean): void {
     const changes = this.#controller.takeChanges();
     for (const change of changes) {
-      this.#log(change);
+      this.#logChange(change);
     }
     const paces = this.servingGroups.map(({ pace }) => pace).join();
-    if (isFirstLook || changes.length > 0 || paces !== this.#paces) {
+    if (isFirstPass || changes.length > 0 || paces !== this.#paces) {
       this.#paces = paces;
       this.#parts.onTableChanged();
     }
   }
 
-  #log({ group, from, to }: IGroupChange): void {
+  #logChange({ group, from, to }: IGroupChange): void {
     this.#parts.metrics.count("group_changes", { to: to ?? "released" });
     this.#parts.log.info("group", {
       group: group.plan.group,
--- a/src/common/replicas/serving_table.ts
+++ b/src/common/replicas/serving_table.ts
@@ -1,17 +1,21 @@
-/** The groups that take requests, as the other processes are told of them. */
+/**
+ * Builds the table of groups that take requests, as sent to other processes.
+ */
 import type { IServingGroup } from "../calls/serving_groups.ts";
 import type { ServiceName } from "../types.ts";
 import type { EngineViews } from "./group_controller.ts";
 import { GroupPhase } from "./replica_group.ts";
 import type { IReplicaGroup } from "./replica_group.ts";
 
-/** What all groups of the table have in common. */
+/** Values that all groups of the table share. */
 export interface IServingTableOptions {
   readonly service: ServiceName;
   readonly slots: number;
 }
 
-/** Those that serve, and those that only finish what they have. */
+/**
+ * Includes serving groups, and those that only finish their running requests.
+ */
 export function buildServingTable(
   groups: readonly IReplicaGroup[],
   views: EngineViews,
--- a/src/common/replicas/slow_engines.ts
+++ b/src/common/replicas/slow_engines.ts
@@ -1,16 +1,15 @@
 /**
- * Engines that run far slower than their peers, and the groups that are better
- * formed anew without them.
+ * Finds engines that run far slower than their peers, and groups that are
+ * better formed again without them.
  *
- * Pattern of load: part of the engines turns slow for some seconds. A group
- * runs at the pace of its slowest member, so with four members a few slow
- * engines make most groups slow, and answers pass their deadlines although
- * most engines are in order; one would notice by streams whose pauses grow
- * alike in many groups while spares stand idle. Formed anew, the sound members
- * serve within a second.
+ * Some of the engines may become slow for some seconds. A group runs at the
+ * pace of its slowest member, so with four members a few slow engines make most
+ * groups slow: pauses grow alike in the streams of many groups, and answers miss their
+ * deadlines, while most engines are healthy and spares are idle. In new groups,
+ * the healthy members serve within a second.
  *
- * Slow is meant by comparison: when most engines are slow together, no choice
- * among them helps, and none is set aside.
+ * Slow is relative: when most engines are slow together, no choice among them
+ * helps, and none is set aside.
  */
 import type { IModel } from "../calls/types.ts";
 import type { InstanceId } from "../types.ts";
@@ -19,13 +18,13 @@
 import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
 
 /**
- * Multiple of the median pace from which an engine is slow: forming a group
- * anew costs about a second and its streams a repeat, which a smaller
- * difference does not earn.
+ * Multiple of the median pace from which an engine counts as slow. Forming a
+ * group again takes about a second and a retry of its streams, which a smaller
+ * difference does not justify.
  */
 const SLOW_FACTOR = 2;
 
-/** The engines that are slow beside the others. */
+/** Returns the engines that are slow compared to the others. */
 export function findSlowEngines(
   views: Iterable<IEngineView>,
 ): ReadonlySet<InstanceId> {
@@ -38,42 +37,45 @@
   return new Set(slow.map(({ target }) => target.id));
 }
 
-/** What stands, for {@link findGroupsToReplace}. */
+/** Input of {@link findGroupsToReplace}. */
 export interface IReplacementInput {
   readonly models: readonly IModel[];
   /** Free instances that are not slow. */
   readonly free: readonly IPlannerEngine[];
-  readonly standing: readonly IPlannerGroup[];
+  readonly activeGroups: readonly IPlannerGroup[];
   readonly slow: ReadonlySet<InstanceId>;
 }
 
 /**
- * Serving groups with slow members to be given up: only where their sound
- * members and the free instances of the domain make a group of some model.
+ * Returns the serving groups with slow members to abandon: only those whose
+ * healthy members and the free instances of the domain form a group of some
+ * model.
  */
 export function findGroupsToReplace(
-  situation: IReplacementInput,
+  input: IReplacementInput,
 ): readonly string[] {
-  const { models, free, standing, slow } = situation;
-  const sound = new Map<string, readonly IPlannerEngine[]>();
+  const { models, free, activeGroups, slow } = input;
+  const healthy = new Map<string, readonly IPlannerEngine[]>();
   for (const engine of free) {
     const domain = engine.view.state?.domain ?? "";
-    sound.set(domain, [...(sound.get(domain) ?? []), engine]);
+    healthy.set(domain, [...(healthy.get(domain) ?? []), engine]);
   }
   const replaced: string[] = [];
-  for (const { group, domain, members, isServing } of standing) {
-    const rest = members.filter(({ view }) => !slow.has(view.target.id));
-    const pool = [...(sound.get(domain) ?? []), ...rest];
-    const hasSlow = rest.length < members.length;
-    if (isServing && hasSlow && makesGroup(pool, models)) {
+  for (const { group, domain, members, isServing } of activeGroups) {
+    const healthyMembers = members.filter(
+      ({ view }) => !slow.has(view.target.id),
+    );
+    const pool = [...(healthy.get(domain) ?? []), ...healthyMembers];
+    const hasSlow = healthyMembers.length < members.length;
+    if (isServing && hasSlow && canFormGroup(pool, models)) {
       replaced.push(group);
-      sound.set(domain, pool);
+      healthy.set(domain, pool);
     }
   }
   return replaced;
 }
 
-function makesGroup(
+function canFormGroup(
   pool: readonly IPlannerEngine[],
   models: readonly IModel[],
 ): boolean {
--- a/src/common/replicas/slow_engines_test.ts
+++ b/src/common/replicas/slow_engines_test.ts
@@ -13,14 +13,14 @@
   return paces.map((pace, index) => engineView(`engine-${index}`, { pace }));
 }
 
-function holding(id: string, loaded: string, host: string): IPlannerEngine {
+function engineWith(id: string, loaded: string, host: string): IPlannerEngine {
   const view = engineView(id, { state: engineState({ staged: [host] }) });
   return { view, loaded, isUnconfirmed: false };
 }
 
-function large(group: string): IPlannerGroup {
+function largeGroup(group: string): IPlannerGroup {
   const members = Array.from({ length: LARGE.size }, (_, index) =>
-    holding(`${group}-${index}`, "large", "small"),
+    engineWith(`${group}-${index}`, "large", "small"),
   );
   const model = LARGE.name;
   return {
@@ -34,7 +34,7 @@
 
 const MODELS = [LARGE, SMALL];
 
-describe("engines slow beside their peers", () => {
+describe("slow engines", () => {
   it("are those at twice the median pace or more", () => {
     expect([...findSlowEngines(views(1, 1, 1.4, 4, 12))]).to.deep.equal([
       "engine-3",
@@ -42,31 +42,29 @@
     ]);
   });
 
-  // All engines are slow together, perhaps by a release. Setting them aside
-  // would leave nobody to serve.
+  // Guards against leaving nobody to serve when all engines are slow together,
+  // for example after a release.
   it("are none when most are slow", () => {
     expect(findSlowEngines(views(4, 4, 4, 1)).size).to.equal(0);
   });
 
-  // One of four members turns slow. The group's answers slow down with it and
-  // pass their deadlines, while the other three could serve in small groups.
-  it("are left out where the sound members make a group", () => {
-    const standing = [large("group")];
+  // Guards against answers that miss their deadlines because one of four
+  // members is slow, while the other three could serve in small groups.
+  it("have their group replaced where its healthy members form another", () => {
+    const activeGroups = [largeGroup("group")];
     const slow = new Set(["group-2"]);
-    const situation = { models: MODELS, free: [], standing, slow };
-    expect(findGroupsToReplace(situation)).to.deep.equal(["group"]);
+    const input = { models: MODELS, free: [], activeGroups, slow };
+    expect(findGroupsToReplace(input)).to.deep.equal(["group"]);
   });
 
-  // Three of four are slow and nothing is free. Late answers are better than
-  // none, so the group stays.
-  it("stay where nothing better can be formed", () => {
-    const standing = [large("group")];
+  // Guards against abandoning a group with three slow members when nothing is
+  // free: late answers are better than none.
+  it("stay in their group where no better one can be formed", () => {
+    const activeGroups = [largeGroup("group")];
     const slow = new Set(["group-0", "group-1", "group-2"]);
-    const situation = { models: MODELS, free: [], standing, slow };
-    expect(findGroupsToReplace(situation)).to.deep.equal([]);
-    const free = [holding("spare", "small", "large")];
-    expect(findGroupsToReplace({ ...situation, free })).to.deep.equal([
-      "group",
-    ]);
+    const input = { models: MODELS, free: [], activeGroups, slow };
+    expect(findGroupsToReplace(input)).to.deep.equal([]);
+    const free = [engineWith("spare", "small", "large")];
+    expect(findGroupsToReplace({ ...input, free })).to.deep.equal(["group"]);
   });
 });
--- a/src/common/replicas/staging_tracker.ts
+++ b/src/common/replicas/staging_tracker.ts
@@ -1,8 +1,11 @@
-/** The loads onto hosts that were ordered and are not seen to have ended. */
+/** Loads onto hosts that were ordered and are not known to have ended. */
 import type { InstanceId, MonotonicTime } from "../types.ts";
 import type { EngineViews } from "./group_controller.ts";
 
-/** A load that is not seen by then is given up, in load times. */
+/**
+ * Multiple of the load time after which a load that is not reported is
+ * abandoned.
+ */
 const TIMEOUT_FACTOR = 2.5;
 
 interface IStaging {
@@ -10,7 +13,7 @@
   readonly until: MonotonicTime;
 }
 
-/** Loads by engine. */
+/** Tracks the model that each engine is staging. */
 export class StagingTracker {
   readonly #loads = new Map<InstanceId, IStaging>();
 
@@ -32,12 +35,15 @@
     this.#loads.set(id, { model, until });
   }
 
-  /** The order was not taken. */
+  /** Handles an order that was not accepted. */
   handleFailed(id: InstanceId): void {
     this.#loads.delete(id);
   }
 
-  /** Drops what a report shows to be on the host, and what took too long. */
+  /**
+   * Removes loads that a report shows on the host, and those that took too
+   * long.
+   */
   removeEnded(views: EngineViews, now: MonotonicTime): void {
     for (const [id, { model, until }] of this.#loads) {
       const isDone = views.get(id)?.state?.staged.includes(model) ?? false;
--- a/src/common/replicas/types.ts
+++ b/src/common/replicas/types.ts
@@ -1,34 +1,34 @@
-/** Engines as the lease holder sees them, and the orders it gives them. */
+/** Engines as seen by the lease holder, and the orders it sends them. */
 import type { Result } from "ts-results-es";
 import type { IEngineState } from "../calls/types.ts";
 import type { ICallFailure, InstanceId } from "../types.ts";
 
-/** An engine's answer when asked what it is doing. */
+/** An engine's report of its state. */
 export interface IEngineReport {
-  /** Calendar milliseconds of its start; 0 where it is not told. */
+  /** Calendar milliseconds of its start; 0 if unknown. */
   readonly startedAt: number;
   readonly queued: number;
   readonly running: number;
-  /** Factor on its times; over 1 it is slow. */
+  /** Factor on its times; above 1 it is slow. */
   readonly pace: number;
   readonly engine: IEngineState;
 }
 
-/** What an engine is told to do. */
+/** Kind of order to an engine. */
 export enum OrderKind {
-  /** Become a member of a group, loading the model if need be. */
+  /** Become a member of a group, loading the model if necessary. */
   Join = "join",
-  /** A head starts to serve. */
+  /** Start to serve, as a head. */
   Open = "open",
-  /** A head stops to serve, and finishes what it has. */
+  /** Stop serving, as a head, and finish the running requests. */
   Close = "close",
   /** Drop the membership at once. */
   Leave = "leave",
-  /** Load a model onto the host, beside all else. */
+  /** Load a model onto the host, independently of the membership. */
   Stage = "stage",
 }
 
-/** One list of members under one name; never changed once it was ordered. */
+/** A named list of members; never changed once it was ordered. */
 export interface IGroupPlan {
   readonly group: string;
   readonly epoch: number;
@@ -47,23 +47,23 @@
     }
   | { readonly kind: OrderKind.Stage; readonly model: string };
 
-/** What became of an order. */
+/** Result of an order. */
 export enum OrderOutcome {
-  /** It has begun, or what it asks for holds already. */
+  /** It has begun, or its result holds already. */
   Accepted = "accepted",
-  /** It does not fit what the engine is doing. */
+  /** It conflicts with the state of the engine. */
   Refused = "refused",
-  /** No answer: it may be carried out at any later moment. */
+  /** No answer: it may be carried out at any later time. */
   Unknown = "unknown",
 }
 
-/** Who is asked or ordered. */
+/** The engine that a request is sent to. */
 export interface IEngineAddress {
   readonly id: InstanceId;
   readonly address: string;
 }
 
-/** Reports from engines and orders to them. */
+/** Requests reports from engines and sends them orders. */
 export interface IEngineClient {
   /** @param timeout - milliseconds */
   fetchReport(
