--- a/src/common/decisions/account_admission.ts
+++ b/src/common/decisions/account_admission.ts
@@ -1,10 +1,10 @@
 /**
- * Admission by plan. Pattern of load: an account sends more than its plan
- * allows. Without it one account's burst fills the queues up to their bounds,
- * and its fair part is more than it has paid for. A refused request is told at
- * once, and when to come back. What an answer will need is counted as asked
- * when it is let in, and settled by what it took when it has ended: otherwise
- * an account could have any number of long answers begun at the same moment.
+ * Admission by plan. It refuses the requests of an account that sends more than
+ * its plan allows; otherwise one account's burst fills the queues up to their
+ * bounds and gets more service than the account pays for. A refusal is
+ * immediate and says when to retry. The tokens an answer may need are charged
+ * on admission and corrected to the tokens used when it ends; otherwise an
+ * account could start any number of long answers at the same moment.
  */
 import type { IPlan } from "../plans/types.ts";
 import { Reason } from "../types.ts";
@@ -19,41 +19,43 @@
 const SECONDS_PER_MINUTE = 60;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** When to come back if all slots in flight are taken, milliseconds. */
+/**
+ * Retry delay while all in-flight slots of the plan are taken, milliseconds.
+ */
 const BUSY_RETRY_AFTER = 1_000;
 
-/** A refusal by plan, and when asking again makes sense. */
+/** A refusal by plan, with the time after which to retry. */
 export interface IPlanRefusal {
   readonly reason: Reason;
   /** Milliseconds. */
   readonly retryAfter: number;
 }
 
-/** A rate that may be saved up to a capacity. */
+/** A token bucket: fills at a rate, up to a capacity. */
 class RateBucket {
-  #left: number | null = null;
+  #available: number | null = null;
   #filledAt: MonotonicTime = 0;
 
-  /** Fills up for the time passed. */
+  /** Adds what has accrued since the last call. */
   refill(perSecond: number, capacity: number, now: MonotonicTime): void {
     const elapsed = (now - this.#filledAt) / MILLISECONDS_PER_SECOND;
-    const filled = (this.#left ?? capacity) + elapsed * perSecond;
-    this.#left = Math.min(capacity, filled);
+    const filled = (this.#available ?? capacity) + elapsed * perSecond;
+    this.#available = Math.min(capacity, filled);
     this.#filledAt = now;
   }
 
-  /** Milliseconds until so much is there; 0 if it is. */
+  /** Milliseconds until the amount is available; 0 if it already is. */
   timeUntil(amount: number, perSecond: number): number {
-    const missing = Math.max(0, amount - (this.#left ?? 0));
+    const missing = Math.max(0, amount - (this.#available ?? 0));
     return Math.ceil((missing / perSecond) * MILLISECONDS_PER_SECOND);
   }
 
   take(amount: number): void {
-    this.#left = (this.#left ?? 0) - amount;
+    this.#available = (this.#available ?? 0) - amount;
   }
 }
 
-/** One account's use of its plan in this daemon. */
+/** Tracks one account's use of its plan in this daemon. */
 export class AccountAdmission {
   readonly #requests = new RateBucket();
   readonly #tokens = new RateBucket();
@@ -64,7 +66,8 @@
   }
 
   /**
-   * Takes a slot, or says why not; each admission is ended by `finished`.
+   * Takes a slot, or returns why it is refused. Each admission must be ended by
+   * `finish`.
    *
    * @param requested Tokens the answer may have at most; 0 for a plain call.
    */
@@ -82,7 +85,7 @@
     if (this.#inFlight >= plan.requestsInFlight) {
       return { reason, retryAfter: BUSY_RETRY_AFTER };
     }
-    // An answer larger than the whole allowance is let in when it is full.
+    // An answer larger than the bucket's capacity is admitted when it is full.
     const needed = Math.min(requested, tokenCapacity);
     const retryAfter = Math.max(
       this.#requests.timeUntil(1, plan.requestsPerSecond),
@@ -97,7 +100,7 @@
     return null;
   }
 
-  /** An admitted request has had its final answer. */
+  /** Ends an admitted request and corrects the tokens charged to those used. */
   finish(requested: number, used: number): void {
     this.#inFlight -= 1;
     this.#tokens.take(used - requested);
--- a/src/common/decisions/account_admission_test.ts
+++ b/src/common/decisions/account_admission_test.ts
@@ -1,4 +1,3 @@
-/** Admission by plan, on a fake clock. */
 import { expect } from "chai";
 import type { IPlan } from "../plans/types.ts";
 import { AccountAdmission } from "./account_admission.ts";
@@ -14,7 +13,7 @@
 };
 
 describe("admission by plan", () => {
-  it("says when the next request will be within the plan's rate", () => {
+  it("returns when the next request will be within the plan's rate", () => {
     const use = new AccountAdmission();
     for (let index = 0; index < PLAN.requestsPerSecond; index++) {
       expect(use.admit(PLAN, 1, 0)).to.equal(null);
@@ -25,7 +24,7 @@
     expect(use.admit(PLAN, 1, refused?.retryAfter ?? 0)).to.equal(null);
   });
 
-  it("bounds requests in flight", () => {
+  it("limits requests in flight", () => {
     const use = new AccountAdmission();
     for (let index = 0; index < PLAN.requestsInFlight; index++) {
       expect(use.admit(PLAN, 1, 0)).to.equal(null);
@@ -35,7 +34,7 @@
     expect(use.admit(PLAN, 1, 0)).to.equal(null);
   });
 
-  it("counts tokens as asked, and settles what was not made", () => {
+  it("charges the tokens requested, and returns those not generated", () => {
     const use = new AccountAdmission();
     expect(use.admit(PLAN, 5_000, 0)).to.equal(null);
     expect(use.admit(PLAN, 2_000, 0)?.retryAfter).to.equal(10_000);
--- a/src/common/decisions/fair_queue.ts
+++ b/src/common/decisions/fair_queue.ts
@@ -1,24 +1,24 @@
 /**
- * Waiting by client account. Pattern of load: one account sends most of the
- * load. Without fairness its queue is everybody's queue, and accounts within
- * their plans are late; one would notice by answers on time that fall for all
- * accounts alike. Each account gets its turn by cost, not by count (start-time
- * fair queueing: the account that has been given the least cost goes first),
- * a higher priority goes before a lower one, and inside an account the
- * earliest deadline goes first.
+ * Queue with fairness between client accounts. Without fairness, an account
+ * that sends most of the load makes everybody wait in its queue: accounts
+ * within their plans are late, and the share of answers on time falls for all
+ * accounts alike. Accounts take turns by cost, not by count (start-time fair
+ * queueing: the account that has been served the least cost goes first), a
+ * higher priority goes before a lower one, and within an account the earliest
+ * deadline goes first.
  *
- * Bounded: when a priority's queue is full, the work that leaves is the latest
- * of the account with the most cost waiting, so that a flood pushes out
- * itself.
+ * The size is bounded: when a priority's queue is full, the item evicted is the
+ * latest of the account with the most cost waiting, so that a flood evicts its
+ * own items.
  */
 import type { AccountName } from "../types.ts";
 import { costOf, isLong } from "./work_item.ts";
 import type { IWorkItem } from "./work_item.ts";
 
-/** Requests that may wait in one priority; memory, about 1 KB each. */
+/** Items that may wait in one priority; each takes about 1 KB of memory. */
 export const MAXIMUM_WAITING = 1_000;
 
-/** Which work there is room for. */
+/** Which kinds of work there are free slots for. */
 export interface IFreeSlots {
   readonly forShort: boolean;
   readonly forLong: boolean;
@@ -27,11 +27,10 @@
 interface IAccountQueue {
   readonly account: AccountName;
   priority: number;
-  /** Cost given so far, on the queue's virtual clock. */
+  /** Cost served so far, on the queue's virtual clock. */
   servedCost: number;
-  /** Cost waiting. */
   waitingCost: number;
-  /** In order of deadline. */
+  /** Sorted by deadline. */
   readonly short: IWorkItem[];
   readonly long: IWorkItem[];
 }
@@ -39,7 +38,7 @@
 /** The waiting work of one service. */
 export class FairQueue {
   readonly #accounts = new Map<AccountName, IAccountQueue>();
-  readonly #sizes = new Map<number, number>();
+  readonly #sizesByPriority = new Map<number, number>();
   #virtualTime = 0;
   #size = 0;
 
@@ -47,59 +46,65 @@
     return this.#size;
   }
 
-  /** Adds work; returns what had to leave for it, which may be itself. */
+  /**
+   * Adds an item; returns the item evicted for it, if any, which may be itself.
+   */
   add(work: IWorkItem): IWorkItem | null {
     const queue = this.#queueOf(work);
-    const lane = laneOf(queue, work);
-    let index = lane.length;
-    while (index > 0 && (lane[index - 1]?.deadline ?? 0) > work.deadline) {
+    const subqueue = subqueueOf(queue, work);
+    let index = subqueue.length;
+    while (index > 0 && (subqueue[index - 1]?.deadline ?? 0) > work.deadline) {
       index -= 1;
     }
-    lane.splice(index, 0, work);
-    this.#count(queue, work, 1);
-    const isFull = (this.#sizes.get(queue.priority) ?? 0) > MAXIMUM_WAITING;
-    return isFull ? this.#pushOut(queue.priority) : null;
+    subqueue.splice(index, 0, work);
+    this.#updateCounts(queue, work, 1);
+    const isFull =
+      (this.#sizesByPriority.get(queue.priority) ?? 0) > MAXIMUM_WAITING;
+    return isFull ? this.#evictLatest(queue.priority) : null;
   }
 
-  /** The next work there is room for; null when there is none. */
-  take(room: IFreeSlots): IWorkItem | null {
+  /** Removes and returns the next item that a slot is free for, or null. */
+  take(freeSlots: IFreeSlots): IWorkItem | null {
     let best: IAccountQueue | null = null;
     for (const queue of this.#accounts.values()) {
-      if (head(queue, room) !== null && goesBefore(queue, best)) {
+      if (
+        earliestItem(queue, freeSlots) !== null &&
+        isServedBefore(queue, best)
+      ) {
         best = queue;
       }
     }
-    const work = best && head(best, room);
+    const work = best && earliestItem(best, freeSlots);
     if (best === null || work === null) {
       return null;
     }
-    laneOf(best, work).shift();
+    subqueueOf(best, work).shift();
     this.#virtualTime = Math.max(this.#virtualTime, best.servedCost);
     best.servedCost += costOf(work);
-    this.#count(best, work, -1);
+    this.#updateCounts(best, work, -1);
     return work;
   }
 
-  /** Whether any work of an account waits. */
+  /** Whether any item of the account is waiting. */
   has(account: AccountName): boolean {
     const queue = this.#accounts.get(account);
     return queue !== undefined && queue.short.length + queue.long.length > 0;
   }
 
-  /** Removes work whose caller is gone. */
+  /** Removes an item; false if it is not waiting. */
   remove(work: IWorkItem): boolean {
     const queue = this.#accounts.get(work.account);
-    const lane = queue && laneOf(queue, work);
-    const index = lane?.indexOf(work) ?? -1;
-    if (queue === undefined || lane === undefined || index < 0) {
+    const subqueue = queue && subqueueOf(queue, work);
+    const index = subqueue?.indexOf(work) ?? -1;
+    if (queue === undefined || subqueue === undefined || index < 0) {
       return false;
     }
-    lane.splice(index, 1);
-    this.#count(queue, work, -1);
+    subqueue.splice(index, 1);
+    this.#updateCounts(queue, work, -1);
     return true;
   }
 
-  /** Removes and returns all work for which the condition holds. */
+  /** Removes and returns all items for which the condition holds. */
   removeWhere(condition: (work: IWorkItem) => boolean): readonly IWorkItem[] {
     const removed: IWorkItem[] = [];
     for (const queue of this.#accounts.values()) {
@@ -113,12 +118,12 @@
   }
 
   /**
-   * Cost expected to leave before new work of an account: all of higher
-   * priorities, and of its own priority at most what fairness lets pass.
+   * Cost expected to be served before a new item of the account: all of higher
+   * priorities, and of its own priority at most what fairness lets go first.
    */
   costAhead(work: IWorkItem): number {
     const own = this.#accounts.get(work.account)?.waitingCost ?? 0;
-    const turn = own + costOf(work);
+    const fairShare = own + costOf(work);
     let ahead = own;
     for (const queue of this.#accounts.values()) {
       if (queue.account === work.account) {
@@ -127,13 +132,13 @@
       if (queue.priority > work.priority) {
         ahead += queue.waitingCost;
       } else if (queue.priority === work.priority) {
-        ahead += Math.min(queue.waitingCost, turn);
+        ahead += Math.min(queue.waitingCost, fairShare);
       }
     }
     return ahead;
   }
 
-  #pushOut(priority: number): IWorkItem | null {
+  #evictLatest(priority: number): IWorkItem | null {
     let heaviest: IAccountQueue | null = null;
     for (const queue of this.#accounts.values()) {
       const isHeavier = queue.waitingCost > (heaviest?.waitingCost ?? 0);
@@ -141,8 +146,8 @@
         heaviest = queue;
       }
     }
-    const lane = heaviest?.short.length ? heaviest.short : heaviest?.long;
-    const latest = lane?.at(-1) ?? null;
+    const subqueue = heaviest?.short.length ? heaviest.short : heaviest?.long;
+    const latest = subqueue?.at(-1) ?? null;
     if (latest !== null) {
       this.remove(latest);
     }
@@ -166,35 +171,39 @@
     return queue;
   }
 
-  #count(queue: IAccountQueue, work: IWorkItem, by: 1 | -1): void {
-    const size = this.#sizes.get(queue.priority) ?? 0;
-    this.#sizes.set(queue.priority, size + by);
+  #updateCounts(queue: IAccountQueue, work: IWorkItem, by: 1 | -1): void {
+    const size = this.#sizesByPriority.get(queue.priority) ?? 0;
+    this.#sizesByPriority.set(queue.priority, size + by);
     this.#size += by;
     queue.waitingCost += by * costOf(work);
     const isEmpty = queue.short.length + queue.long.length === 0;
-    // An account that has caught up is forgotten: it owes nothing, and names
-    // of accounts long gone would otherwise be kept for good.
+    // An account with nothing waiting whose served cost is not ahead of the
+    // virtual clock needs no entry. Keeping it would leak the names of accounts
+    // that no longer send requests.
     if (isEmpty && queue.servedCost <= this.#virtualTime) {
       this.#accounts.delete(queue.account);
     }
   }
 }
 
-function laneOf(queue: IAccountQueue, work: IWorkItem): IWorkItem[] {
+function subqueueOf(queue: IAccountQueue, work: IWorkItem): IWorkItem[] {
   return isLong(work) ? queue.long : queue.short;
 }
 
-/** The earliest deadline among the work there is room for. */
-function head(queue: IAccountQueue, room: IFreeSlots): IWorkItem | null {
-  const short = room.forShort ? queue.short[0] : undefined;
-  const long = room.forLong ? queue.long[0] : undefined;
+/** The item with the earliest deadline that a slot is free for. */
+function earliestItem(
+  queue: IAccountQueue,
+  freeSlots: IFreeSlots,
+): IWorkItem | null {
+  const short = freeSlots.forShort ? queue.short[0] : undefined;
+  const long = freeSlots.forLong ? queue.long[0] : undefined;
   if (short === undefined || long === undefined) {
     return short ?? long ?? null;
   }
   return short.deadline <= long.deadline ? short : long;
 }
 
-function goesBefore(queue: IAccountQueue, other: IAccountQueue | null) {
+function isServedBefore(queue: IAccountQueue, other: IAccountQueue | null) {
   if (other === null) {
     return true;
   }
--- a/src/common/decisions/fair_queue_test.ts
+++ b/src/common/decisions/fair_queue_test.ts
@@ -1,4 +1,3 @@
-/** Properties of waiting by account. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { FairQueue, MAXIMUM_WAITING } from "./fair_queue.ts";
@@ -6,7 +5,7 @@
 import type { IWorkItem } from "./work_item.ts";
 
 const SEED = 20_261;
-const ROOM = { forShort: true, forLong: true };
+const FREE_SLOTS = { forShort: true, forLong: true };
 
 function makeWork(index: number, rest: Partial<IWorkItem> = {}): IWorkItem {
   return {
@@ -24,7 +23,7 @@
 }
 
 describe("fair queue", () => {
-  it("gives backlogged accounts equal cost, whatever each asks for", () => {
+  it("serves backlogged accounts equal cost, whatever the size of their requests", () => {
     const sizes = fc.array(fc.integer({ min: 1, max: 400 }), {
       minLength: 60,
       maxLength: 60,
@@ -43,7 +42,7 @@
         }
         const left = { one: ones.length, other: others.length };
         while (left.one > 0 && left.other > 0) {
-          const work = queue.take(ROOM) as IWorkItem;
+          const work = queue.take(FREE_SLOTS) as IWorkItem;
           left[work.account as "one" | "other"] -= 1;
           const before = given.get(work.account) ?? 0;
           given.set(work.account, before + costOf(work));
@@ -56,18 +55,17 @@
     );
   });
 
-  it("takes the earliest deadline of an account, and priorities in order", () => {
+  it("takes higher priorities first, then an account's earliest deadline", () => {
     const queue = new FairQueue();
     queue.add(makeWork(1, { deadline: 900 }));
     queue.add(makeWork(2, { deadline: 300 }));
     queue.add(makeWork(3, { account: "radio", priority: 8 }));
-    const order = [1, 2, 3].map(() => queue.take(ROOM)?.id);
+    const order = [1, 2, 3].map(() => queue.take(FREE_SLOTS)?.id);
     expect(order).to.deep.equal(["request-3", "request-2", "request-1"]);
   });
 
-  // A flood fills the queue. The account that has only one request waiting
-  // would notice if it were the one to leave.
-  it("pushes out the account with the most cost waiting", () => {
+  // Guards against a flood evicting the only request of another account.
+  it("evicts from the account with the most cost waiting", () => {
     const queue = new FairQueue();
     queue.add(makeWork(-1, { account: "radio" }));
     for (let index = 1; index < MAXIMUM_WAITING; index++) {
@@ -78,7 +76,7 @@
     expect(queue.size).to.equal(MAXIMUM_WAITING);
   });
 
-  it("lets short work pass while there is room for short work only", () => {
+  it("takes only short work while only short slots are free", () => {
     const queue = new FairQueue();
     queue.add(makeWork(1, { askedTokens: 5_000, deadline: 100 }));
     queue.add(makeWork(2));
--- a/src/common/decisions/limit_share.ts
+++ b/src/common/decisions/limit_share.ts
@@ -1,47 +1,54 @@
 /**
- * One daemon's share of a client account's limit. Pattern of load: an account
- * sends to a few daemons only, or is cut off from some. Without shares each
- * daemon allows the whole limit, and with N of them the account gets N times
- * its plan; with fixed shares an account whose callers all reach one daemon
- * gets an Nth of what it pays for.
+ * One daemon's share of a client account's limit. An account may send to a few
+ * daemons only, or be cut off from some. Without shares, each daemon allows the
+ * whole limit, and with N daemons the account gets N times its plan. With fixed
+ * shares, an account whose callers all reach one daemon gets an Nth of what it
+ * pays for.
  *
- * Each daemon owns a base share: the limit over the number of daemons that the
- * settings allow for. It may lend what it does not use of it. Lending is safe
- * in any partition because the lender gives up first: it shrinks by the loan
- * before the offer is sent, and grows back only after the loan has lapsed for
- * certain. The borrower counts the loan from before it asked, the lender from
- * after it answered, so a message that is late, lost or doubled makes the sum
- * smaller, never larger. Nobody compares clocks: both measure durations, and
- * the margin covers clocks that run at different speeds.
+ * Each daemon owns a base share: the limit divided by the number of daemons
+ * that the settings allow for. It may lend the part it does not use. Lending is
+ * safe in any partition because the lender gives up its part first: its share
+ * shrinks by the loan before the offer is sent, and grows back only after the
+ * loan has certainly expired. The borrower counts the loan's time from before
+ * it asked, the lender from after it answered, so a late, lost or duplicated
+ * message makes the sum smaller, never larger. Clocks are never compared: both
+ * sides measure durations, and the margin covers clocks that run at different
+ * speeds.
  *
- * That the sum is never above the limit, in any partition, is a property in
- * `limit_share_test.ts`; so is that nine tenths can be used where all demand
- * is at one daemon. No daemon exchanges loans yet.
+ * `limit_share_test.ts` tests these properties: the sum never exceeds the limit
+ * in any partition, and nine tenths are usable where all demand is at one
+ * daemon. Daemons do not exchange loans yet.
  */
 import type { DaemonId, MonotonicTime } from "../types.ts";
 
-/** How long a loan lasts for its borrower, milliseconds. */
+/** Duration of a loan for its borrower, milliseconds. */
 export const LOAN_TIME = 4_000;
 
-/** How much longer the lender waits: two hundredths of it, and a pause. */
+/**
+ * How much longer the lender waits, milliseconds: two hundredths of the loan's
+ * duration for clock drift, and the rest for a pause of the process.
+ */
 export const LOAN_EXPIRY_MARGIN = 1_000;
 
-/** Share of its base that a daemon always keeps, to notice its own demand. */
-const KEPT_SHARE = 0.1;
+/**
+ * Share of its base that a daemon never lends, so that it notices its own
+ * demand.
+ */
+const RESERVED_SHARE = 0.1;
 
-/** Demand is answered with this much room above it. */
-const HEADROOM = 1.1;
+/** Factor by which a share exceeds the demand. */
+const HEADROOM_FACTOR = 1.1;
 
-/** A loan asked for; answered by {@link LimitShare.lend}. */
+/** A request for a loan, answered by {@link LimitShare.lend}. */
 export interface ILoanRequest {
   readonly borrower: DaemonId;
-  /** Tells loans of one borrower apart. */
+  /** Distinguishes the loans of one borrower. */
   readonly number: number;
-  /** How much is wanted, in the limit's unit. */
+  /** The amount requested, in the limit's unit. */
   readonly amount: number;
 }
 
-/** A loan given. */
+/** A loan granted by a lender. */
 export interface ILoan {
   readonly lender: DaemonId;
   readonly borrower: DaemonId;
@@ -54,14 +61,16 @@
   readonly until: MonotonicTime;
 }
 
-/** Base, loans given and loans taken of one account in one daemon. */
+/**
+ * One account's share in one daemon: its base, loans granted and loans held.
+ */
 export class LimitShare {
   readonly #self: DaemonId;
   readonly #base: number;
-  /** By borrower, which counts only one of them at a time. */
-  readonly #given = new Map<DaemonId, readonly IActiveLoan[]>();
-  readonly #taken = new Map<DaemonId, IActiveLoan>();
-  readonly #asked = new Map<number, MonotonicTime>();
+  /** By borrower; each borrower uses only one of its loans at a time. */
+  readonly #lent = new Map<DaemonId, readonly IActiveLoan[]>();
+  readonly #borrowed = new Map<DaemonId, IActiveLoan>();
+  readonly #requested = new Map<number, MonotonicTime>();
   #number = 0;
 
   /**
@@ -73,68 +82,73 @@
     this.#base = base;
   }
 
-  /** What may be used now. */
+  /** The amount usable now. */
   usable(now: MonotonicTime): number {
-    this.#lapse(now);
-    const taken = [...this.#taken.values()].map(({ amount }) => amount);
-    return this.#base - this.#lentExcept("") + sum(taken);
+    this.#expireLoans(now);
+    const borrowed = [...this.#borrowed.values()].map(({ amount }) => amount);
+    return this.#base - this.#lentExcept("") + sum(borrowed);
   }
 
   /**
-   * Asks for a loan, or for its renewal, where demand is above this daemon's
-   * own part; null if it is not. To be called once a second.
+   * Requests a loan, or its renewal, when demand exceeds this daemon's own
+   * part; null otherwise. Call it once a second.
    */
   requestLoan(demand: number, now: MonotonicTime): ILoanRequest | null {
-    this.#lapse(now);
+    this.#expireLoans(now);
     const own = this.#base - this.#lentExcept("");
-    const missing = demand * HEADROOM - own;
+    const missing = demand * HEADROOM_FACTOR - own;
     if (missing <= 0) {
       return null;
     }
     this.#number += 1;
-    this.#asked.set(this.#number, now);
+    this.#requested.set(this.#number, now);
     return { borrower: this.#self, number: this.#number, amount: missing };
   }
 
-  /** Gives what is not used of the base; the share shrinks at once. */
+  /** Lends the unused part of the base; the share shrinks immediately. */
   lend(
     request: ILoanRequest,
     demand: number,
     now: MonotonicTime,
   ): ILoan | null {
-    this.#lapse(now);
+    this.#expireLoans(now);
     const { borrower, number } = request;
-    const used = Math.max(demand * HEADROOM, this.#base * KEPT_SHARE);
+    const used = Math.max(
+      demand * HEADROOM_FACTOR,
+      this.#base * RESERVED_SHARE,
+    );
     const spare = this.#base - this.#lentExcept(borrower) - used;
     const amount = Math.min(request.amount, spare);
     if (amount <= 0) {
       return null;
     }
     const until = now + LOAN_TIME + LOAN_EXPIRY_MARGIN;
-    const before = this.#given.get(borrower) ?? [];
-    this.#given.set(borrower, [...before, { amount, until }]);
+    const before = this.#lent.get(borrower) ?? [];
+    this.#lent.set(borrower, [...before, { amount, until }]);
     return { lender: this.#self, borrower, number, amount };
   }
 
-  /** Takes a loan, if it is still in time; counted from when it was asked. */
+  /**
+   * Accepts a loan that has not expired, counting from when it was requested.
+   */
   acceptLoan(loan: ILoan, now: MonotonicTime): void {
-    const askedAt = this.#asked.get(loan.number);
-    if (loan.borrower !== this.#self || askedAt === undefined) {
+    const requestedAt = this.#requested.get(loan.number);
+    if (loan.borrower !== this.#self || requestedAt === undefined) {
       return;
     }
-    const until = askedAt + LOAN_TIME;
-    const known = this.#taken.get(loan.lender);
-    // One loan of a lender counts at a time: the newer takes the older's
-    // place, although the lender still waits for both to lapse.
+    const until = requestedAt + LOAN_TIME;
+    const known = this.#borrowed.get(loan.lender);
+    // Only one loan of each lender counts: the newer replaces the older,
+    // although the lender waits for both to expire.
     if (now < until && (known === undefined || known.until < until)) {
-      this.#taken.set(loan.lender, { amount: loan.amount, until });
+      this.#borrowed.set(loan.lender, { amount: loan.amount, until });
     }
   }
 
-  /** The most that borrowers, but for one, may be counting now. */
+  /** The most that all borrowers except one may be using now. */
   #lentExcept(excepted: DaemonId): number {
     const largest: number[] = [];
-    for (const [borrower, loans] of this.#given) {
+    for (const [borrower, loans] of this.#lent) {
       if (borrower !== excepted) {
         largest.push(Math.max(0, ...loans.map(({ amount }) => amount)));
       }
@@ -142,22 +156,22 @@
     return sum(largest);
   }
 
-  #lapse(now: MonotonicTime): void {
-    for (const [borrower, loans] of this.#given) {
+  #expireLoans(now: MonotonicTime): void {
+    for (const [borrower, loans] of this.#lent) {
       const running = loans.filter(({ until }) => now < until);
-      this.#given.set(borrower, running);
+      this.#lent.set(borrower, running);
       if (running.length === 0) {
-        this.#given.delete(borrower);
+        this.#lent.delete(borrower);
       }
     }
-    for (const [lender, { until }] of this.#taken) {
+    for (const [lender, { until }] of this.#borrowed) {
       if (now >= until) {
-        this.#taken.delete(lender);
+        this.#borrowed.delete(lender);
       }
     }
-    for (const [number, askedAt] of this.#asked) {
-      if (now - askedAt >= LOAN_TIME) {
-        this.#asked.delete(number);
+    for (const [number, requestedAt] of this.#requested) {
+      if (now - requestedAt >= LOAN_TIME) {
+        this.#requested.delete(number);
       }
     }
   }
--- a/src/common/decisions/limit_share_test.ts
+++ b/src/common/decisions/limit_share_test.ts
@@ -1,4 +1,4 @@
-/** Shares of a limit, in every order of messages that a network can make. */
+/** Shares of a limit under delayed, lost, duplicated and reordered messages. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { LimitShare } from "./limit_share.ts";
@@ -10,7 +10,7 @@
 const LIMIT = 1_000;
 const ROUNDING = 1e-6;
 
-/** One thing that happens to the daemons or to their messages. */
+/** An event at the daemons or in the network. */
 interface IStep {
   readonly kind: "pass" | "ask" | "deliver" | "drop" | "double";
   readonly daemon: number;
@@ -22,7 +22,7 @@
   | { readonly to: number; readonly request: ILoanRequest }
   | { readonly to: number; readonly loan: ILoan };
 
-/** Daemons whose messages are late, lost or doubled, as steps say. */
+/** Daemons whose messages are delayed, lost or duplicated by the steps. */
 class Network {
   readonly shares = Array.from(
     { length: DAEMONS },
@@ -90,9 +90,8 @@
 });
 
 describe("limit shares", () => {
-  // Daemons lose one another, and messages come late, twice or never. The
-  // account would notice nothing, but others would if it got more than its
-  // plan allows.
+  // Guards against an account getting more than its plan allows when daemons
+  // are partitioned and messages come late, twice or never.
   it("never sum to more than the limit, whatever the network does", () => {
     const steps = fc.array(stepArbitrary, { minLength: 40, maxLength: 200 });
     fc.assert(
@@ -107,7 +106,7 @@
     );
   });
 
-  // All callers of an account reach one daemon. With fixed shares the account
+  // Guards against fixed shares: an account whose callers all reach one daemon
   // would get a quarter of what it pays for.
   it("leave nine tenths usable where all demand is at one daemon", () => {
     const network = new Network();
@@ -124,9 +123,9 @@
     }
   });
 
-  // A zone is cut off. Its daemon must go on with its own part, and the others
-  // get back what it had borrowed.
-  it("fall back to the base when nothing is renewed", () => {
+  // Guards against loans outliving a partition: a daemon that is cut off keeps
+  // only its own part, and the others get back what it had borrowed.
+  it("fall back to the base when loans are not renewed", () => {
     const network = new Network();
     network.ask(0, LIMIT);
     while (network.messages.length > 0) {
--- a/src/common/decisions/load_cases_test.ts
+++ b/src/common/decisions/load_cases_test.ts
@@ -1,7 +1,6 @@
 /**
- * The load cases on a fake clock and small fake targets, judged by what
- * callers get. The same cases are measured against baselines, with figures, by
- * `npm run bench -- decisions`.
+ * Load cases on a fake clock with a few fake targets, checked by what callers
+ * get. `npm run bench -- decisions` measures the same cases against baselines.
  */
 import { expect } from "chai";
 import { capacityOf } from "../../../bench/decisions/capacity.ts";
@@ -23,28 +22,27 @@
 }
 
 describe("decisions under load", () => {
-  // More is asked than can be served, for a minute. Callers notice that all
-  // answers are too late if everything is let in, since the targets then work
-  // on requests whose callers have left.
+  // Guards against admitting everything at 1.5 times the capacity: all answers
+  // are then late, since targets work on requests whose callers have left.
   it("keeps the goodput at saturation", () => {
     const { all } = play(cases.scenario([cases.headlines(CAPACITY * 1.5)]));
     expect(all.goodput(10_000, 60_000)).to.be.above(CAPACITY * 0.95);
     expect(all.late).to.be.below(all.offered * 0.02);
   });
 
-  // One account sends four fifths of one and a half times what can be served.
-  // The others stay within their part, and notice it if theirs are refused.
-  it("serves accounts within their part while another floods", () => {
+  // Guards against refusing accounts within their share while another account
+  // sends four fifths of 1.5 times the capacity.
+  it("serves accounts within their share while another floods", () => {
     const world = play(cases.flood(CAPACITY * 1.5));
     for (const account of [1, 2, 3, 4].map((index) => `steady-${index}`)) {
       expect(world.resultsOf(account).onTimeShare, account).to.be.above(0.99);
     }
   });
 
-  // Ten times the usual load for five seconds. Without a bound on what is let
-  // in the targets are still at work on it long after; callers see late first
-  // tokens although the burst is over.
-  it("is back to normal within twice a burst", () => {
+  // Guards against a burst of ten times the usual load for five seconds keeping
+  // targets busy long after it: first tokens would stay late although it is
+  // over.
+  it("recovers within twice the duration of a burst", () => {
     const { all } = play(cases.burst(CAPACITY * 0.4));
     const after = all.series.filter(({ at }) => at > 35_000);
     const before = all.series.filter(({ at }) => at < 20_000);
@@ -57,9 +55,9 @@
     }
   });
 
-  // One target works at a fifth of its speed but says that it is well. Each
-  // caller sent there waits five times as long.
-  it("does not let a slow target make the service slow", () => {
+  // Guards against a target that works at a fifth of its speed but reports that
+  // it is healthy: each request sent there takes five times as long.
+  it("keeps the service fast with one slow target", () => {
     const usual = play(cases.scenario([cases.headlines(USUAL)]));
     const slowed = play(cases.oneTarget(USUAL, cases.fifthOfSpeed));
     const ratio = firstToken99(slowed) / firstToken99(usual);
@@ -67,21 +65,22 @@
     expect(slowed.all.onTimeShare).to.equal(1);
   });
 
-  // One target accepts requests and never answers. Callers sent there get
-  // nothing until their deadline.
-  it("tries elsewhere what a silent target does not answer", () => {
+  // Guards against a target that accepts requests and never answers: callers
+  // sent there get nothing until their deadline.
+  it("retries elsewhere what a silent target does not answer", () => {
     const { all } = play(cases.oneTarget(USUAL, cases.goSilent));
     expect(all.onTimeShare).to.be.above(0.995);
-    // Only the few that show whether it answers again may wait for it.
+    // Only the few probation requests may wait for it.
     const waited = all.series.filter(
       ({ at, firstToken }) => at > 15_000 && firstToken > 1_000,
     );
     expect(waited).to.have.length.below(6);
   });
 
-  // One request in twenty is a long brief. Beside a long brief the tokens of
-  // a headline come later, and a headline behind its prompt waits for it.
-  it("keeps headlines quick among long briefs", () => {
+  // Guards against one long brief in twenty requests delaying the headlines: it
+  // slows down the tokens beside it, and a headline queued behind its prompt
+  // waits.
+  it("keeps headlines fast among long briefs", () => {
     const rate = CAPACITY * 0.3;
     const alone = play(cases.longAmongShort(rate, false));
     const among = play(cases.longAmongShort(rate, true));
@@ -92,10 +91,9 @@
     expect(among.resultsOf("briefs").onTimeShare).to.equal(1);
   });
 
-  // Many prompts begin alike, one beginning more often than all others. A
-  // target that has read the beginning need not read it again, but one alone
-  // must not get all of them.
-  it("sends prompts that begin alike to where that was read", () => {
+  // Guards against ignoring a target's cached prefix, and against sending all
+  // prompts of the most frequent prefix to one target.
+  it("sends prompts with the same prefix to targets that have it cached", () => {
     const scenario = cases.hotPrefix(CAPACITY * 0.3);
     const plain = World.play(scenario, (host) => new RoundRobin(host));
     const ratio =
@@ -104,8 +102,9 @@
     expect(ratio).to.be.below(0.7);
   });
 
-  // Three quarters of the targets are lost for five seconds, with all they
-  // run. If all of it is tried again at once the rest is buried.
+  // Guards against a retry storm: three quarters of the targets are lost for
+  // five seconds with all their requests, and retrying these at once would
+  // overload the remaining targets.
   it("adds few retries after an outage", () => {
     const span = { from: 20_000, to: 25_000, share: 0.75 };
     const world = play(cases.outage(CAPACITY * 0.5, span));
@@ -116,9 +115,9 @@
     expect(world.all.onTimeShare).to.be.above(0.95);
   });
 
-  // Half the targets are lost and come back empty. Every daemon sees them as
-  // the idlest at once and would send them everything.
-  it("takes a zone back without a wave", () => {
+  // Guards against a wave: half the targets return empty, so every daemon sees
+  // them as the least loaded at once and would send them everything.
+  it("returns a zone to service without a wave of late answers", () => {
     const span = { from: 20_000, to: 40_000, share: 0.5 };
     const { all } = play(cases.outage(CAPACITY * 0.7, span));
     const later = all.series.filter(({ at }) => at > 45_000);
@@ -126,9 +125,9 @@
     expect(percentile(times, 0.99)).to.be.below(820);
   });
 
-  // A request that cannot be served is told so while the caller can still go
-  // elsewhere, and never after its deadline.
-  it("tells a refused caller before its deadline", () => {
+  // Guards against late refusals: a refused caller must still have time to go
+  // elsewhere before its deadline.
+  it("refuses well before the deadline", () => {
     const { all } = play(cases.flood(CAPACITY * 1.5));
     const { deadline } = cases.HEADLINE;
     expect(Math.max(...all.refusedAfter)).to.be.below(deadline / 2);
--- a/src/common/decisions/outlier_detector.ts
+++ b/src/common/decisions/outlier_detector.ts
@@ -1,57 +1,68 @@
 /**
- * Setting aside a target that is much slower than its peers. Pattern of load:
- * a straggler keeps its health checks but serves at a fraction of its speed,
- * or accepts and never answers. Without this its share of the requests is the
- * service's slowest hundredth; one would notice by a 99th that stands far
- * above the 95th.
+ * Detects targets that are much slower than their peers and sets them aside. A
+ * straggler passes its health checks but serves at a fraction of its speed, or
+ * accepts requests and never answers. Without this, its share of the requests
+ * makes up the slowest hundredth of the service's, and the 99th percentile is
+ * far above the 95th.
  *
  * A target is compared with the median of its peers, never with a fixed time:
- * when all are slow together, saturation is the cause and nobody is set aside.
- * Only a bounded share may be set aside, for the same reason. It comes back by
- * probation: one request at a time until some were in time; each time it
- * fails again it stays away for longer.
+ * when all are slow together the cause is saturation and none is set aside. For
+ * the same reason only a bounded share may be set aside. A target returns
+ * through probation: it takes one request at a time until enough samples are on
+ * time, and each further failure doubles the time for which it is set aside.
  *
- * Thresholds: continuous batching makes a loaded target up to 2.5 times slower
- * than an idle one, so a target must be slower than {@link SLOW_FACTOR}.
+ * Continuous batching makes a loaded target up to 2.5 times slower than an idle
+ * one, which sets {@link SLOW_FACTOR}.
  */
 import type { MonotonicTime } from "../types.ts";
 
 /** Multiple of the peers' median time from which a target is slow. */
 export const SLOW_FACTOR = 2.5;
 
-/** Multiple of the median first token's time without any: not answering. */
+/**
+ * A target without any token for this multiple of the median time to the first
+ * token is not answering.
+ */
 const SILENT_FACTOR = 4;
 
-/** No target is silent before this, milliseconds. */
+/** Least time without tokens before a target counts as silent, milliseconds. */
 const SHORTEST_SILENCE = 1_000;
 
-/** Samples without which a target is not judged. */
+/** Samples needed before a target's speed is compared. */
 const MINIMUM_SAMPLES = 8;
 
-/** Weight of the newest sample: about the last 16 count. */
+/**
+ * Weight of the newest sample in the moving averages: about the last 16 count.
+ */
 const NEWEST_WEIGHT = 1 / 16;
 
-/** Largest share of a service set aside; a single one of two or more may be. */
+/**
+ * Largest share of a service's targets set aside; of two or more, one always
+ * may be.
+ */
 export const MAX_SHARE_SET_ASIDE = 0.25;
 
-/** First time away, milliseconds; doubled on each return that fails. */
-const FIRST_TIME_AWAY = 10_000;
-const LONGEST_TIME_AWAY = 160_000;
+/**
+ * Time for which a target is first set aside, milliseconds; doubled each time
+ * it fails probation.
+ */
+const FIRST_SET_ASIDE_TIME = 10_000;
+const LONGEST_SET_ASIDE_TIME = 160_000;
 
-/** In-time samples by which probation is passed. */
+/** Samples after which probation is passed. */
 const PROBATION_SAMPLES = 24;
 
-/** A request on its way; known by identity. */
+/** A request in flight, identified by object identity. */
 export interface ISentRequest {
   readonly target: string;
   readonly sentAt: MonotonicTime;
 }
 
-/** Where a target stands. */
+/** Health of a target relative to its peers. */
 export enum TargetHealth {
   InService = "in_service",
   SetAside = "set_aside",
-  /** Takes one request at a time. */
+  /** Accepts one request at a time. */
   Probation = "probation",
 }
 
@@ -61,15 +72,15 @@
   tokenGapSamples: number;
   firstToken: number;
   firstTokenSamples: number;
-  /** When any token came from it. */
+  /** When it last sent a token. */
   lastTokenAt: MonotonicTime;
-  awayUntil: MonotonicTime;
-  timeAway: number;
-  /** Requests without a first token, in the order they were sent. */
+  setAsideUntil: MonotonicTime;
+  setAsideTime: number;
+  /** Requests without a first token, in the order sent. */
   readonly unanswered: Set<ISentRequest>;
 }
 
-/** Watches the targets of one service. */
+/** Detects outliers among the targets of one service. */
 export class OutlierDetector {
   readonly #targets = new Map<string, ITargetStatistics>();
   #medianGap = 0;
@@ -79,27 +90,26 @@
     return this.#targets.get(target)?.health ?? TargetHealth.InService;
   }
 
-  /** Time between its tokens as a multiple of the median; 1 if not known. */
+  /** Time between its tokens as a multiple of the median; 1 if unknown. */
   paceOf(target: string): number {
-    const watched = this.#targets.get(target);
+    const statistics = this.#targets.get(target);
     if (
-      !watched ||
-      watched.tokenGapSamples < MINIMUM_SAMPLES ||
+      !statistics ||
+      statistics.tokenGapSamples < MINIMUM_SAMPLES ||
       !this.#medianGap
     ) {
       return 1;
     }
-    return Math.max(1, watched.tokenGap / this.#medianGap);
+    return Math.max(1, statistics.tokenGap / this.#medianGap);
   }
 
-  /** A request was sent. */
   recordSent(request: ISentRequest): void {
-    this.#watchedOf(request.target).unanswered.add(request);
+    this.#statisticsOf(request.target).unanswered.add(request);
   }
 
-  /** A request has its first token, or has ended without one. */
+  /** Stops waiting for a first token: the request has one, or has ended. */
   clearUnanswered(request: ISentRequest): void {
-    this.#watchedOf(request.target).unanswered.delete(request);
+    this.#statisticsOf(request.target).unanswered.delete(request);
   }
 
   recordFirstToken(
@@ -107,14 +117,14 @@
     milliseconds: number,
     now: MonotonicTime,
   ): void {
-    const watched = this.#watchedOf(target);
-    watched.lastTokenAt = now;
-    watched.firstToken = average(
-      watched.firstToken,
+    const statistics = this.#statisticsOf(target);
+    statistics.lastTokenAt = now;
+    statistics.firstToken = average(
+      statistics.firstToken,
       milliseconds,
-      watched.firstTokenSamples,
+      statistics.firstTokenSamples,
     );
-    watched.firstTokenSamples += 1;
+    statistics.firstTokenSamples += 1;
   }
 
   recordTokenGap(
@@ -122,57 +132,69 @@
     milliseconds: number,
     now: MonotonicTime,
   ): void {
-    const watched = this.#watchedOf(target);
-    watched.lastTokenAt = now;
-    watched.tokenGap = average(
-      watched.tokenGap,
+    const statistics = this.#statisticsOf(target);
+    statistics.lastTokenAt = now;
+    statistics.tokenGap = average(
+      statistics.tokenGap,
       milliseconds,
-      watched.tokenGapSamples,
+      statistics.tokenGapSamples,
     );
-    watched.tokenGapSamples += 1;
+    statistics.tokenGapSamples += 1;
   }
 
-  /** Compares the targets; to be called about twice a second. */
+  /** Compares the targets with one another. Call it about twice a second. */
   compare(targets: readonly string[], now: MonotonicTime): void {
-    this.#forgetOthers(targets);
-    const watched = targets.map((target) => this.#watchedOf(target));
-    this.#medianGap = median(watched, "tokenGap");
-    this.#medianFirst = median(watched, "firstToken");
-    let aside = watched.filter(
+    this.#removeOthers(targets);
+    const compared = targets.map((target) => this.#statisticsOf(target));
+    this.#medianGap = median(compared, "tokenGap");
+    this.#medianFirst = median(compared, "firstToken");
+    let outliers = compared.filter(
       (entry) => entry.health !== TargetHealth.InService,
     );
-    const most = Math.max(1, Math.floor(targets.length * MAX_SHARE_SET_ASIDE));
-    for (const entry of watched) {
-      const mayGo = targets.length > 1 && aside.length < most;
-      this.#judge(entry, now, mayGo);
-      aside = watched.filter(({ health }) => health !== TargetHealth.InService);
+    const maximum = Math.max(
+      1,
+      Math.floor(targets.length * MAX_SHARE_SET_ASIDE),
+    );
+    for (const entry of compared) {
+      const maySetAside = targets.length > 1 && outliers.length < maximum;
+      this.#updateHealth(entry, now, maySetAside);
+      outliers = compared.filter(
+        ({ health }) => health !== TargetHealth.InService,
+      );
     }
   }
 
-  #judge(entry: ITargetStatistics, now: MonotonicTime, mayGo: boolean): void {
-    const isBad = this.#isSlow(entry) || this.#isSilent(entry, now);
-    if (entry.health === TargetHealth.InService && isBad && mayGo) {
+  #updateHealth(
+    entry: ITargetStatistics,
+    now: MonotonicTime,
+    maySetAside: boolean,
+  ): void {
+    const isOutlier = this.#isSlow(entry) || this.#isSilent(entry, now);
+    if (entry.health === TargetHealth.InService && isOutlier && maySetAside) {
       this.#setAside(entry, now);
     } else if (entry.health === TargetHealth.SetAside) {
-      if (now >= entry.awayUntil) {
+      if (now >= entry.setAsideUntil) {
         entry.health = TargetHealth.Probation;
         entry.tokenGapSamples = 0;
         entry.firstTokenSamples = 0;
       }
     } else if (entry.health === TargetHealth.Probation) {
-      if (isBad) {
-        entry.timeAway = Math.min(LONGEST_TIME_AWAY, entry.timeAway * 2);
+      if (isOutlier) {
+        entry.setAsideTime = Math.min(
+          LONGEST_SET_ASIDE_TIME,
+          entry.setAsideTime * 2,
+        );
         this.#setAside(entry, now);
       } else if (entry.tokenGapSamples >= PROBATION_SAMPLES) {
         entry.health = TargetHealth.InService;
-        entry.timeAway = FIRST_TIME_AWAY;
+        entry.setAsideTime = FIRST_SET_ASIDE_TIME;
       }
     }
   }
 
   #setAside(entry: ITargetStatistics, now: MonotonicTime): void {
     entry.health = TargetHealth.SetAside;
-    entry.awayUntil = now + entry.timeAway;
+    entry.setAsideUntil = now + entry.setAsideTime;
   }
 
   #isSlow(entry: ITargetStatistics): boolean {
@@ -181,18 +203,20 @@
     return isKnown && entry.tokenGap > this.#medianGap * SLOW_FACTOR;
   }
 
-  /** A target whose tokens still come to others is loaded, not silent. */
+  /**
+   * A target that still sends tokens for other requests is loaded, not silent.
+   */
   #isSilent(entry: ITargetStatistics, now: MonotonicTime): boolean {
     const [oldest] = entry.unanswered;
     if (oldest === undefined) {
       return false;
     }
-    const patience = this.#medianFirst * SILENT_FACTOR;
-    const quietSince = Math.max(oldest.sentAt, entry.lastTokenAt);
-    return now - quietSince > Math.max(SHORTEST_SILENCE, patience);
+    const bound = this.#medianFirst * SILENT_FACTOR;
+    const silentSince = Math.max(oldest.sentAt, entry.lastTokenAt);
+    return now - silentSince > Math.max(SHORTEST_SILENCE, bound);
   }
 
-  #forgetOthers(targets: readonly string[]): void {
+  #removeOthers(targets: readonly string[]): void {
     if (this.#targets.size <= targets.length) {
       return;
     }
@@ -204,23 +228,23 @@
     }
   }
 
-  #watchedOf(target: string): ITargetStatistics {
-    let watched = this.#targets.get(target);
-    if (watched === undefined) {
-      watched = {
+  #statisticsOf(target: string): ITargetStatistics {
+    let statistics = this.#targets.get(target);
+    if (statistics === undefined) {
+      statistics = {
         health: TargetHealth.InService,
         tokenGap: 0,
         tokenGapSamples: 0,
         firstToken: 0,
         firstTokenSamples: 0,
         lastTokenAt: 0,
-        awayUntil: 0,
-        timeAway: FIRST_TIME_AWAY,
+        setAsideUntil: 0,
+        setAsideTime: FIRST_SET_ASIDE_TIME,
         unanswered: new Set(),
       };
-      this.#targets.set(target, watched);
+      this.#targets.set(target, statistics);
     }
-    return watched;
+    return statistics;
   }
 }
 
@@ -230,10 +254,10 @@
 }
 
 function median(
-  watched: readonly ITargetStatistics[],
+  compared: readonly ITargetStatistics[],
   field: "tokenGap" | "firstToken",
 ): number {
-  const known = watched
+  const known = compared
     .map((entry) => entry[field])
     .filter((value) => value > 0)
     .sort((one, other) => one - other);
--- a/src/common/decisions/prefix_affinity.ts
+++ b/src/common/decisions/prefix_affinity.ts
@@ -1,40 +1,42 @@
 /**
- * Which targets this daemon sent a prefix to lately. It stands in for the
- * engines' cache events, which come late and with gaps: an entry that is wrong
- * costs the time to read a prompt, never correctness. Bounded, since prefixes
- * are made by callers.
+ * Records which targets this daemon recently sent a prefix to. It replaces the
+ * engines' cache events, which arrive late and with gaps: a wrong entry costs
+ * the time of a prefill, never correctness. Bounded, since prefixes are made by
+ * callers.
  */
 
-/** Prefixes remembered; about 200 bytes each. */
+/** Prefixes remembered; each takes about 200 bytes. */
 const MAXIMUM_PREFIXES = 4_096;
 
 /** Targets remembered for one prefix. */
-const MAXIMUM_HOLDERS = 4;
+const MAXIMUM_TARGETS = 4;
 
 const NONE: readonly string[] = [];
 
-/** Prefixes and their last targets, the least recently used forgotten first. */
+/**
+ * Maps prefixes to their last targets; evicts the least recently used prefix.
+ */
 export class PrefixAffinity {
-  readonly #holders = new Map<string, string[]>();
+  readonly #targets = new Map<string, string[]>();
 
   /** Targets the prefix was sent to, the latest first. */
   targetsOf(prefix: string): readonly string[] {
-    return this.#holders.get(prefix) ?? NONE;
+    return this.#targets.get(prefix) ?? NONE;
   }
 
-  /** Notes that work with the prefix was sent to the target. */
+  /** Records that work with the prefix was sent to the target. */
   recordSent(prefix: string, target: string): void {
     if (prefix === "") {
       return;
     }
-    const before = this.#holders.get(prefix) ?? [];
+    const before = this.#targets.get(prefix) ?? [];
     const others = before.filter((holder) => holder !== target);
-    const holders = [target, ...others].slice(0, MAXIMUM_HOLDERS);
-    this.#holders.delete(prefix);
-    this.#holders.set(prefix, holders);
-    if (this.#holders.size > MAXIMUM_PREFIXES) {
-      const [oldest] = this.#holders.keys();
-      this.#holders.delete(oldest ?? "");
+    const targets = [target, ...others].slice(0, MAXIMUM_TARGETS);
+    this.#targets.delete(prefix);
+    this.#targets.set(prefix, targets);
+    if (this.#targets.size > MAXIMUM_PREFIXES) {
+      const [oldest] = this.#targets.keys();
+      this.#targets.delete(oldest ?? "");
     }
   }
 }
--- a/src/common/decisions/routing.ts
+++ b/src/common/decisions/routing.ts
@@ -1,52 +1,54 @@
 /**
- * Routing between the targets of a service. Pattern of load: reports lag, so
- * every daemon sees the same target as the idlest. Without sampling they all
- * send there until the next report; one would notice by first tokens that are
- * late in waves as long as the lag. Each daemon therefore compares a few
- * targets picked at random, and adds its own work in flight
- * ({@link TargetLoad}).
+ * Routing between the targets of a service. Reports lag, so every daemon sees
+ * the same target as the least loaded; without sampling all daemons send there
+ * until the next report, and first tokens are late in waves as long as the lag.
+ * Each daemon therefore compares a few targets picked at random, and adds its
+ * own requests in flight ({@link TargetLoad}).
  *
- * Long among short: a long brief makes the time between tokens longer for all
- * that run beside it. Long work is therefore packed on the same few targets,
- * in an order that all daemons share, and short work finds the others emptier.
+ * Long work lengthens the time between tokens of all requests beside it. It is
+ * therefore packed onto the same few targets, in an order that all daemons
+ * share, which leaves the others less loaded for short work.
  *
- * A target that served the same prefix lately need not read it again. It is
- * preferred only while its load is bounded, so that one hot prefix does not
- * bury one target. What is remembered here may be wrong, as when the engine
- * has dropped the prefix: then it costs time, never correctness.
+ * A target that recently served the same prefix probably has it cached and can
+ * skip its prefill. It is preferred only while its load is bounded, so that one
+ * hot prefix does not overload one target. The prefix record may be wrong, for
+ * example when the engine has evicted the prefix; that costs time, never
+ * correctness.
  */
 import { isLong } from "./work_item.ts";
 import type { IWorkItem } from "./work_item.ts";
 
 /**
- * Targets compared for one request by all daemons together, and by each at
- * least. One daemon may compare all: it knows what it sent. Of many, each
- * that compares many picks what the others pick.
+ * Targets compared per request, summed over all daemons, and the least number
+ * for each daemon. A single daemon may compare all targets, since it knows what
+ * it has sent. With many daemons, comparing many targets each makes them pick
+ * the same ones.
  */
-const COMPARED_TOGETHER = 16;
+const COMPARED_BY_ALL_DAEMONS = 16;
 const LEAST_COMPARED = 2;
 
-/** Long work fills a target up to this share of its limit. */
+/** Long work is packed onto a target up to this share of its limit. */
 const LONG_FILL_SHARE = 0.9;
 
-/** A target with the prefix may have this many times the sampled mean load. */
+/** A target with the prefix may have this multiple of the sampled mean load. */
 const PREFIX_LOAD_BOUND = 1.25;
 
-/** Requests above the mean that a prefix always makes good for. */
+/** Requests above the mean for which a cached prefix always compensates. */
 const PREFIX_LOAD_ALLOWANCE = 2;
 
-/** A target that can take a request. */
+/** A target that can accept a request. */
 export interface ICandidate {
   readonly id: string;
-  /** Requests expected to be there now. */
+  /** Requests expected to be at the target now. */
   readonly load: number;
   /**
-   * Cost of the prompts sent from here that it has not finished reading. They
-   * are read one after another and before any new one, so a target with few
-   * requests that have all just come is a worse choice than its load says.
+   * Cost of the prompts sent from this daemon whose prefill the target has not
+   * finished. Prefills run one after another and before any new one, so a
+   * target whose few requests have all just arrived is a worse choice than its
+   * load suggests.
    */
   readonly pendingPromptCost: number;
-  /** Requests it may have in all, by {@link GroupLimit}. */
+  /** Requests it may have in total, by {@link AdaptiveLimit}. */
   readonly limit: number;
   /** Requests this daemon may send there now. */
   readonly freeSlots: number;
@@ -54,12 +56,12 @@
   readonly pace: number;
 }
 
-/** Where, for what, and where not. */
+/** What a routing decision depends on besides the candidates. */
 export interface IRoutingContext {
   readonly work: IWorkItem;
-  /** Targets that failed this request already. */
+  /** Targets that have already failed this request. */
   readonly avoid: ReadonlySet<string>;
-  /** Targets that this daemon sent the work's prefix to lately. */
+  /** Targets that this daemon recently sent the same prefix to. */
   readonly prefixTargets: readonly string[];
   /** Daemons that send to these targets, this one included. */
   readonly daemons: number;
@@ -68,31 +70,33 @@
 /** The target with the least expected wait; null when there is none. */
 export function chooseCandidate<T extends ICandidate>(
   candidates: readonly T[],
-  choice: IRoutingContext,
+  context: IRoutingContext,
   random: () => number,
 ): T | null {
-  const { work, avoid, prefixTargets } = choice;
+  const { work, avoid, prefixTargets } = context;
   const usable = candidates.filter(({ id }) => !avoid.has(id));
-  const roomy = usable.filter(({ freeSlots }) => freeSlots > 0);
+  const open = usable.filter(({ freeSlots }) => freeSlots > 0);
   if (isLong(work)) {
-    const packed = chooseForLong(roomy);
+    const packed = choosePacked(open);
     if (packed !== null) {
       return packed;
     }
   }
-  const share = Math.round(COMPARED_TOGETHER / choice.daemons);
+  const share = Math.round(COMPARED_BY_ALL_DAEMONS / context.daemons);
   const count = Math.max(LEAST_COMPARED, share);
-  const sampled = sample(roomy.length > 0 ? roomy : usable, count, random);
-  const best = leastWait(sampled);
-  const holding = roomy.filter(({ id }) => prefixTargets.includes(id));
-  const holder = prefixTargets.length > 0 ? leastWait(holding) : null;
-  const isNear = holder !== null && isBounded(holder, sampled);
-  return isNear ? holder : best;
+  const sampled = sample(open.length > 0 ? open : usable, count, random);
+  const best = withLeastWait(sampled);
+  const withPrefix = open.filter(({ id }) => prefixTargets.includes(id));
+  const prefixTarget =
+    prefixTargets.length > 0 ? withLeastWait(withPrefix) : null;
+  const isPrefixPreferred =
+    prefixTarget !== null && isLoadBounded(prefixTarget, sampled);
+  return isPrefixPreferred ? prefixTarget : best;
 }
 
-function chooseForLong<T extends ICandidate>(roomy: readonly T[]): T | null {
+function choosePacked<T extends ICandidate>(open: readonly T[]): T | null {
   let first: T | null = null;
-  for (const candidate of roomy) {
+  for (const candidate of open) {
     const isFilled = candidate.load >= candidate.limit * LONG_FILL_SHARE;
     const isEarlier = first === null || candidate.id < first.id;
     if (!isFilled && isEarlier && candidate.pace <= 1.5) {
@@ -102,29 +106,32 @@
   return first;
 }
 
-function isBounded(holder: ICandidate, sampled: readonly ICandidate[]) {
+function isLoadBounded(
+  prefixTarget: ICandidate,
+  sampled: readonly ICandidate[],
+) {
   const total = sampled.reduce((sum, { load }) => sum + load, 0);
   const mean = total / sampled.length;
-  return holder.load <= mean * PREFIX_LOAD_BOUND + PREFIX_LOAD_ALLOWANCE;
+  return prefixTarget.load <= mean * PREFIX_LOAD_BOUND + PREFIX_LOAD_ALLOWANCE;
 }
 
-function leastWait<T extends ICandidate>(sampled: readonly T[]): T | null {
+function withLeastWait<T extends ICandidate>(sampled: readonly T[]): T | null {
   let best: T | null = null;
   for (const candidate of sampled) {
-    if (best === null || waitAt(candidate) < waitAt(best)) {
+    if (best === null || expectedWait(candidate) < expectedWait(best)) {
       best = candidate;
     }
   }
   return best;
 }
 
-/** Expected wait at the target's pace; only its order matters. */
-function waitAt(candidate: ICandidate): number {
+/** Expected wait at the target's pace; only the order of the values matters. */
+function expectedWait(candidate: ICandidate): number {
   const { load, pendingPromptCost, pace } = candidate;
   return (load + 1 + pendingPromptCost) * pace;
 }
 
-/** Up to so many of the candidates, in random order. */
+/** Up to the wanted number of candidates, in random order. */
 function sample<T>(
   candidates: readonly T[],
   wanted: number,
--- a/src/common/decisions/run_time_estimator.ts
+++ b/src/common/decisions/run_time_estimator.ts
@@ -1,7 +1,7 @@
 /**
- * How long work will take once it is sent, by what the service did lately.
- * Without it a deadline could be checked only when it has passed, and target
- * time is spent on answers that nobody waits for any more.
+ * Estimates how long work takes once it is sent, from the recent answers of the
+ * service. Without an estimate a deadline could be checked only after it has
+ * passed, and target time would be spent on answers that nobody waits for.
  */
 import type { IWorkItem } from "./work_item.ts";
 
@@ -9,32 +9,33 @@
 const NEWEST_WEIGHT = 0.02;
 
 /**
- * What is kept at most of times learned before an idle spell, milliseconds:
- * well within the users' aims of 820 and 58.
+ * Caps of the times learned before an idle period, milliseconds: well within
+ * the latency objectives of 820 and 58.
  */
 const FIRST_TOKEN_WHEN_IDLE = 200;
 const TOKEN_GAP_WHEN_IDLE = 20;
 
 /**
- * How far an answer may be longer than the longest seen lately. What callers
- * ask for is only a bound, and many always ask for the most: counted in full,
- * their requests would be refused although their answers are short.
+ * How much longer an answer may be than the longest recent one. The number of
+ * tokens that callers request is only a bound, and many always request the
+ * maximum: counted in full, their requests would be refused although their
+ * answers are short.
  */
-const LONGER_THAN_SEEN = 1.5;
+const ANSWER_LENGTH_FACTOR = 1.5;
 
-/** How fast the longest answer seen is forgotten, a share an answer. */
-const FORGOTTEN = 0.001;
+/** Share by which the longest answer seen decays with each answer. */
+const LONGEST_ANSWER_DECAY = 0.001;
 
 /**
- * Added to the estimate, as a share: work that arrives later slows what runs.
- * With 0.15 twice as many answers were late at saturation, with 0.35 ten times
- * as many requests were refused only after having waited.
+ * Share added to the estimate, since work that arrives later slows down running
+ * work. With 0.15 twice as many answers were late at saturation; with 0.35 ten
+ * times as many requests were refused only after having waited.
  */
 const MARGIN = 0.25;
 
 /**
- * The service's own times, as moving averages. While nothing is known yet they
- * are 0: work is let in and the times are learned from it.
+ * Moving averages of the service's times. They are 0 until the first samples,
+ * so that work is admitted and the times are learned from it.
  */
 export class RunTimeEstimator {
   #firstToken = 0;
@@ -43,8 +44,9 @@
   #longestAnswer = 0;
 
   /**
-   * Nothing runs: what was learned may be long past. Without this, times
-   * learned in an overload refuse all work, and nothing is ever learned again.
+   * Caps the learned times when nothing is running, since they may be outdated.
+   * Otherwise times learned in an overload would refuse all work, and no new
+   * times would ever be learned.
    */
   capWhenIdle(): void {
     this.#firstToken = Math.min(this.#firstToken, FIRST_TOKEN_WHEN_IDLE);
@@ -59,24 +61,24 @@
     this.#tokenGap += (milliseconds - this.#tokenGap) * NEWEST_WEIGHT;
   }
 
-  /** An answer is whole with this many of the tokens asked. */
-  recordAnswer(tokens: number, asked: number): void {
-    const kept = this.#longestAnswer * (1 - FORGOTTEN);
+  /** Records the length of a complete answer against the tokens requested. */
+  recordAnswer(tokens: number, requested: number): void {
+    const kept = this.#longestAnswer * (1 - LONGEST_ANSWER_DECAY);
     this.#longestAnswer = Math.max(kept, tokens);
-    const share = Math.min(1, tokens / asked);
+    const share = Math.min(1, tokens / requested);
     this.#answerShare += (share - this.#answerShare) * NEWEST_WEIGHT;
   }
 
-  /** Milliseconds from being sent to the whole answer, as expected. */
+  /** Expected milliseconds from sending the work to its complete answer. */
   estimate(work: IWorkItem): number {
     const tokens = Math.min(
       work.askedTokens * this.#answerShare,
-      this.#longestAnswer * LONGER_THAN_SEEN,
+      this.#longestAnswer * ANSWER_LENGTH_FACTOR,
     );
     return this.#firstToken + tokens * this.#tokenGap;
   }
 
-  /** The same with a margin, for promises. */
+  /** The estimate with a margin, for checking deadlines. */
   estimateWithMargin(work: IWorkItem): number {
     return this.estimate(work) * (1 + MARGIN);
   }
--- a/src/common/decisions/service_scheduler.ts
+++ b/src/common/decisions/service_scheduler.ts
@@ -1,7 +1,8 @@
 /**
- * The decisions of one service put together: what is let in, what waits, what
- * is turned away and where work goes. Pure: events and the time go in, actions
- * come out; chance is handed in. One in each daemon for each service.
+ * Schedules the requests of one service in one daemon: which are admitted,
+ * which wait, which are refused, and which target each is sent to. It has no
+ * side effects: events and the current time go in, actions come out, and the
+ * source of randomness is a parameter.
  */
 import type { AccountName, MonotonicTime } from "../types.ts";
 import { Reason } from "../types.ts";
@@ -14,59 +15,59 @@
 import type { IWorkItem } from "./work_item.ts";
 
 /**
- * Share of the slots within this daemon's reach that long work may hold. The
- * rest is kept for short work, which would otherwise wait for a long brief to
- * end.
+ * Share of the slots usable by this daemon that long work may hold. The rest is
+ * reserved for short work, which would otherwise wait for a long answer to end.
  */
 export const LONG_SLOT_SHARE = 0.75;
 
 /**
- * A queue that was never empty for this long is no burst, milliseconds. It
- * only makes everything late by its length without serving any more, so from
- * then on work is let in only if it need not wait long.
+ * A queue that has not been empty for this long is no burst, milliseconds. A
+ * standing queue only delays every request by its length and serves no more of
+ * them, so from then on work is admitted only if it need not wait long.
  */
 const STANDING_AFTER = 5_000;
 
-/** The longest wait let in while a queue is standing, milliseconds. */
+/**
+ * The longest expected wait admitted while the queue is standing, milliseconds.
+ */
 const LONGEST_STANDING_WAIT = 500;
 
-/** Shortest and longest "come back in", milliseconds. */
+/** Bounds of a refusal's retry delay, milliseconds. */
 const SHORTEST_RETRY_AFTER = 200;
 const LONGEST_RETRY_AFTER = 30_000;
 
-/** What is to be done with work. */
+/** What to do with a work item. */
 export enum ScheduleActionKind {
   /** Send it now. */
   Start = "start",
-  /** Tell its caller at once that it did not run. */
+  /** Refuse it immediately; it was not run. */
   Refuse = "refuse",
 }
 
-/** One thing to be done. */
+/** An action for the caller of the scheduler to perform. */
 export type ScheduleAction =
   | { readonly kind: ScheduleActionKind.Start; readonly work: IWorkItem }
   | {
       readonly kind: ScheduleActionKind.Refuse;
       readonly work: IWorkItem;
       readonly reason: Reason;
-      /** When asking again makes sense, milliseconds. */
+      /** When to retry, milliseconds. */
       readonly retryAfter: number;
     };
 
-/** Admission, waiting and routing of one service in one daemon. */
+/** Admission, queueing and routing for one service in one daemon. */
 export class ServiceScheduler {
   readonly #queue = new FairQueue();
   readonly #runTime = new RunTimeEstimator();
   readonly #targets = new TargetTracker(this.#runTime);
-  /** Work started and not finished. */
   readonly #started = new Set<IWorkItem>();
-  /** Work let in although it seemed too late, one an account. */
+  /** Work admitted although it is expected to be late; one item per account. */
   readonly #trials = new Map<AccountName, IWorkItem>();
   #longStarted = 0;
-  /** Since when some work has always been waiting. */
+  /** Since when the queue has not been empty; null while it is. */
   #backlogSince: MonotonicTime | null = null;
 
-  /** What is known of the targets; times of tokens are told to it. */
+  /** The targets' state. Token times are recorded there directly. */
   get targets(): TargetTracker {
     return this.#targets;
   }
@@ -75,35 +76,35 @@
     return this.#queue.size;
   }
 
-  /** Milliseconds from sending work to its whole answer, with a margin. */
+  /** Milliseconds from sending work to its complete answer, with a margin. */
   estimateRunTime(work: IWorkItem): number {
     return this.#runTime.estimateWithMargin(work);
   }
 
-  /** Work arrives. It is started, kept waiting (no action) or refused. */
+  /** Submits work: it is started, queued (no action) or refused. */
   submit(work: IWorkItem, now: MonotonicTime): readonly ScheduleAction[] {
     if (this.#started.size === 0) {
       this.#runTime.capWhenIdle();
     }
     const late = this.#lateness(work, now);
-    const isTrial = late > 0 && this.#mayTry(work, now);
+    const isTrial = late > 0 && this.#mayAdmitAsTrial(work, now);
     if (isTrial) {
       this.#trials.set(work.account, work);
     } else if (late > 0) {
       return [refuse(work, Reason.DeadlineTooNear, late)];
     }
-    const pushedOut = this.#queue.add(work);
+    const evicted = this.#queue.add(work);
     const refused =
-      pushedOut === null
+      evicted === null
         ? []
-        : [refuse(pushedOut, Reason.QueueFull, this.#wait(pushedOut))];
+        : [refuse(evicted, Reason.QueueFull, this.#expectedWait(evicted))];
     return [...refused, ...this.advance(now)];
   }
 
   /**
-   * Work that was started has ended.
+   * Ends work that was started.
    *
-   * @param tokens Tokens of the whole answer; null if there is none.
+   * @param tokens Tokens of the complete answer; null if there is none.
    */
   finish(
     work: IWorkItem,
@@ -120,28 +121,28 @@
     return this.advance(now);
   }
 
-  /** The caller of waiting work is gone. */
+  /** Removes queued work whose caller has disconnected. */
   cancel(work: IWorkItem): boolean {
     this.#endTrial(work);
     return this.#queue.remove(work);
   }
 
-  /** The targets in service and their reports. */
+  /** Updates the targets that can serve and their reported load. */
   updateTargets(
-    reports: ITargetsUpdate,
+    update: ITargetsUpdate,
     now: MonotonicTime,
   ): readonly ScheduleAction[] {
-    this.#targets.update(reports, now);
+    this.#targets.update(update, now);
     return this.advance(now);
   }
 
-  /** Time passed: starts what there is room for, refuses what has expired. */
+  /** Starts what slots are free for and refuses what has expired. */
   advance(now: MonotonicTime): readonly ScheduleAction[] {
     const actions: ScheduleAction[] = [];
     const expired = this.#queue.removeWhere((work) => {
       const isLate =
         now + this.#runTime.estimateWithMargin(work) > work.deadline;
-      return isLate && !this.#isKept(work, now);
+      return isLate && !this.#keepAsTrial(work, now);
     });
     for (const work of expired) {
       this.#endTrial(work);
@@ -149,9 +150,9 @@
       actions.push(refuse(work, Reason.DeadlinePassed, late));
     }
     for (;;) {
-      const work = this.#queue.take(this.#room());
+      const work = this.#queue.take(this.#freeSlots());
       if (work === null) {
-        this.#noteBacklog(now);
+        this.#updateBacklog(now);
         return actions;
       }
       this.#started.add(work);
@@ -161,23 +162,24 @@
   }
 
   /**
-   * Whether work that seems too late is let in all the same: its account has
-   * nothing here, so it did not bring the load about by which the run time was
-   * learned. Pattern of load: one account floods the only group; times learned
-   * from its answers jump past everybody's deadline, and an account that asks
-   * now and then would be refused until the flood ends. One trial an account
-   * at a time, so a wrong guess costs one slot for one answer.
+   * Whether work that is expected to be late is admitted as a trial: its
+   * account has nothing queued or running here, so it did not cause the load
+   * from which the run time was learned. When one account floods the only
+   * group, the times learned from its answers exceed every deadline, and an
+   * account that sends a request now and then would be refused until the flood
+   * ends. One trial per account at a time, so a wrong guess costs one slot for
+   * one answer.
    */
-  #mayTry(work: IWorkItem, now: MonotonicTime): boolean {
+  #mayAdmitAsTrial(work: IWorkItem, now: MonotonicTime): boolean {
     return !this.#queue.has(work.account) && this.#mayBeTrial(work, now);
   }
 
   /**
-   * Whether work that waits is kept although it seems too late by now. The
-   * estimate may have risen since it was let in, and then a trial is due to it
-   * as to work that arrives.
+   * Keeps queued work that is now expected to be late, if it can be a trial.
+   * The estimate may have risen since the work was admitted, and then it gets
+   * the same trial as work that arrives.
    */
-  #isKept(work: IWorkItem, now: MonotonicTime): boolean {
+  #keepAsTrial(work: IWorkItem, now: MonotonicTime): boolean {
     if (this.#mayBeTrial(work, now)) {
       this.#trials.set(work.account, work);
     }
@@ -199,19 +201,21 @@
     }
   }
 
-  #room(): IFreeSlots {
-    const reach = this.#targets.usableSlots;
-    const isFree = this.#started.size < reach;
-    const longSlots = Math.max(1, reach * LONG_SLOT_SHARE);
+  #freeSlots(): IFreeSlots {
+    const slots = this.#targets.usableSlots;
+    const isFree = this.#started.size < slots;
+    const longSlots = Math.max(1, slots * LONG_SLOT_SHARE);
     return {
       forShort: isFree,
       forLong: isFree && this.#longStarted < longSlots,
     };
   }
 
-  /** By how many milliseconds work would wait too long; 0 if it would not. */
+  /**
+   * Milliseconds by which work would be late or wait too long; 0 if neither.
+   */
   #lateness(work: IWorkItem, now: MonotonicTime): number {
-    const wait = this.#wait(work);
+    const wait = this.#expectedWait(work);
     const late =
       now + wait + this.#runTime.estimateWithMargin(work) - work.deadline;
     const isStanding =
@@ -220,7 +224,7 @@
     return Math.max(0, late, tooLong);
   }
 
-  #noteBacklog(now: MonotonicTime): void {
+  #updateBacklog(now: MonotonicTime): void {
     if (this.#queue.size === 0) {
       this.#backlogSince = null;
     } else {
@@ -229,11 +233,11 @@
   }
 
   /**
-   * Expected wait before work starts, milliseconds: the cost that goes first,
-   * over what the slots in reach get done (Little's law). The rate of late
-   * would be wrong just when it matters, at the start of a burst.
+   * Expected wait before work starts, milliseconds: the cost ahead of it over
+   * the throughput of the usable slots (Little's law). The recent throughput
+   * would be wrong exactly when it matters, at the start of a burst.
    */
-  #wait(work: IWorkItem): number {
+  #expectedWait(work: IWorkItem): number {
     const slots = this.#targets.usableSlots;
     const rate = (slots * costOf(work)) / this.#runTime.estimate(work);
     const ahead = this.#queue.size === 0 ? 0 : this.#queue.costAhead(work);
--- a/src/common/decisions/service_scheduler_test.ts
+++ b/src/common/decisions/service_scheduler_test.ts
@@ -20,7 +20,7 @@
   };
 }
 
-/** A scheduler with one target, flooded until its estimate says "too late". */
+/** A scheduler with one target, flooded until its estimate refuses work. */
 function flooded(): { scheduler: ServiceScheduler; now: number } {
   const scheduler = new ServiceScheduler();
   const targets = [{ id: "only", reported: 0, describes: 0 }];
@@ -40,19 +40,19 @@
     const use = scheduler.targets.startRequest("only", work, now);
     scheduler.targets.recordTokens(use, 1, now + 6_000);
     scheduler.targets.recordTokens(use, 1, now + 7_000);
-    // The first one goes on running: a service with nothing to do forgets.
+    // The first request keeps running: the estimate is capped when none runs.
     if (index > 0) {
       scheduler.finish(work, TOKENS, now);
     }
   }
-  throw new Error("the flood was never refused");
+  throw new Error("no request of the flood was refused");
 }
 
 describe("scheduling one service", () => {
-  // One account floods the only group. The times learned from its answers say
-  // that no answer can come in time, and an account that asks now and then is
-  // refused as well, until the flood ends.
-  it("tries work of an account that is not part of the load", () => {
+  // Guards against refusing an account that sends a request now and then
+  // because the run times learned from another account's flood exceed its
+  // deadline.
+  it("admits work of an account that is not part of the load", () => {
     const { scheduler, now } = flooded();
     const quiet = workOf("quiet", 0, now);
     const refusals = scheduler
@@ -61,7 +61,7 @@
     expect(refusals.map(({ work }) => work.id)).to.not.include("quiet-0");
   });
 
-  it("tries one at a time of each account", () => {
+  it("admits one trial at a time for each account", () => {
     const { scheduler, now } = flooded();
     scheduler.submit(workOf("quiet", 0, now), now);
     const second = workOf("quiet", 1, now);
@@ -73,9 +73,9 @@
     });
   });
 
-  // Guards against a refusal, by times learned from another account's flood, of
-  // work that was let in before the flood's answers came.
-  it("keeps waiting work of an account that is not part of the load", () => {
+  // Guards against refusing work that was admitted before another account's
+  // flood raised the estimate.
+  it("keeps queued work of an account that is not part of the load", () => {
     const scheduler = new ServiceScheduler();
     const targets = [{ id: "only", reported: 0, describes: 0 }];
     scheduler.updateTargets({ targets, daemons: 1 }, 0);
--- a/src/common/decisions/spill.ts
+++ b/src/common/decisions/spill.ts
@@ -1,24 +1,27 @@
 /**
- * Which daemon of which other zone takes a request that this zone cannot
- * serve. Pattern of load: a fabric domain goes dark, and all callers of a zone
- * turn up elsewhere at once. Sent all to the idlest zone by the last summary,
- * they would fill it before the next summary says so; so the zone is drawn at
- * random, weighted by the room that each says it has.
+ * Chooses the daemon in another zone that takes a request this zone cannot
+ * serve. When a fabric domain fails, all callers of a zone move elsewhere at
+ * once. If all were sent to the zone with the least load by the last summary,
+ * they would fill it before the next summary says so. The zone is therefore
+ * drawn at random, weighted by the free capacity that each zone reports.
  */
 import type { IZoneSummary } from "../membership/zone_directory.ts";
 import type { ISpillTarget } from "../services/forwarding.ts";
 import type { ServiceName } from "../types.ts";
 
 /**
- * The oldest summary that counts, milliseconds. Daemons that are no delegates
- * learn summaries every 5 s through one, so two rounds may be missed.
+ * Maximum age of a summary, milliseconds. Daemons that are not delegates
+ * receive summaries every 5 s through a delegate, so two rounds may be missed.
  */
-const OLDEST_SUMMARY = 15_000;
+const MAXIMUM_SUMMARY_AGE = 15_000;
 
-/** Work a place at which it counts as having little room left. */
-const FULL_PLACE = 8;
+/** Requests per place at which a zone counts as nearly full. */
+const REQUESTS_PER_FULL_PLACE = 8;
 
-/** Weight of a zone without any room, so that none is ruled out by hearsay. */
+/**
+ * Weight of a zone without free capacity, so that a lagging summary does not
+ * exclude it.
+ */
 const LEAST_WEIGHT = 0.05;
 
 interface IWeightedZone {
@@ -27,9 +30,9 @@
 }
 
 /**
- * Daemons to hand a request to, in the order to ask them, one a zone.
+ * Daemons to forward a request to, in the order to try them, one per zone.
  *
- * @param zones - what is known of the other zones
+ * @param zones - the latest summaries of the other zones
  * @param random - numbers in [0, 1)
  */
 export function chooseSpillTargets(
@@ -37,12 +40,12 @@
   service: ServiceName,
   random: () => number,
 ): readonly ISpillTarget[] {
-  const left = zones
+  const remaining = zones
     .map((summary) => ({ summary, weight: weightOf(summary, service) }))
     .filter(({ weight }) => weight > 0);
   const targets: ISpillTarget[] = [];
-  while (left.length > 0) {
-    const { summary } = draw(left, random);
+  while (remaining.length > 0) {
+    const { summary } = drawZone(remaining, random);
     const index = Math.floor(random() * summary.delegates.length);
     const delegate = summary.delegates[index];
     if (delegate !== undefined) {
@@ -52,24 +55,30 @@
   return targets;
 }
 
-/** Room of a zone for a service; 0 when it cannot serve it. */
+/** Free capacity of a zone for a service; 0 if it cannot serve it. */
 function weightOf(summary: IZoneSummary, service: ServiceName): number {
   const load = summary.loads.find((entry) => entry.service === service);
-  if (load === undefined || summary.age > OLDEST_SUMMARY) {
+  if (load === undefined || summary.age > MAXIMUM_SUMMARY_AGE) {
     return 0;
   }
-  const used = (load.running + load.queued) / (load.places * FULL_PLACE);
+  const used =
+    (load.running + load.queued) / (load.places * REQUESTS_PER_FULL_PLACE);
   return load.places * Math.max(1 - used, LEAST_WEIGHT);
 }
 
-/** Takes one zone out, with a chance in proportion to its weight. */
-function draw(left: IWeightedZone[], random: () => number): IWeightedZone {
-  const total = left.reduce((sum, { weight }) => sum + weight, 0);
+/**
+ * Removes and returns one zone, with probability proportional to its weight.
+ */
+function drawZone(
+  remaining: IWeightedZone[],
+  random: () => number,
+): IWeightedZone {
+  const total = remaining.reduce((sum, { weight }) => sum + weight, 0);
   let rest = random() * total;
-  const found = left.findIndex(({ weight }) => {
+  const found = remaining.findIndex(({ weight }) => {
     rest -= weight;
     return rest < 0;
   });
-  const [drawn] = left.splice(Math.max(found, 0), 1);
+  const [drawn] = remaining.splice(Math.max(found, 0), 1);
   return drawn as IWeightedZone;
 }
--- a/src/common/decisions/spill_test.ts
+++ b/src/common/decisions/spill_test.ts
@@ -1,4 +1,4 @@
-/** Requests a zone cannot serve go where there is room, and not all at once. */
+/** Spilled requests go to zones with free capacity and are spread over them. */
 import { expect } from "chai";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -21,7 +21,7 @@
   return { zone: name, daemons: 2, delegates, loads, age };
 }
 
-/** How often each zone comes first in many draws. */
+/** Counts how often each zone is the first choice over many draws. */
 function firstChoices(zones: readonly IZoneSummary[]): Map<string, number> {
   const generator = xoroshiro128plus(5);
   const counts = new Map<string, number>();
@@ -34,9 +34,9 @@
 }
 
 describe("spill between zones", () => {
-  // A zone goes dark while one neighbour is idle and the other half full.
-  // Sent all to the idle one, the callers would fill it within one summary.
-  it("spreads over the zones by their room", () => {
+  // Guards against sending all callers of a failed zone to the idle neighbour,
+  // which would fill within one summary interval while the other is half full.
+  it("spreads requests over the zones by their free capacity", () => {
     const counts = firstChoices([
       zone("idle", { places: 10, running: 0 }),
       zone("half", { places: 10, running: 40 }),
@@ -45,7 +45,7 @@
     expect(counts.get("half")).to.be.within(270, 400);
   });
 
-  it("passes over zones that cannot serve or were long not heard of", () => {
+  it("skips zones that cannot serve or whose summary is old", () => {
     const counts = firstChoices([
       zone("dark", { places: 0, running: 0 }),
       zone("silent", { places: 10, running: 0, age: 60_000 }),
@@ -54,7 +54,7 @@
     expect([...counts]).to.deep.equal([["full", 1_000]]);
   });
 
-  it("names every usable zone once", () => {
+  it("returns every usable zone once", () => {
     const zones = ["a", "b", "c"].map((name) =>
       zone(name, { places: 3, running: 2 }),
     );
--- a/src/common/decisions/target_tracker.ts
+++ b/src/common/decisions/target_tracker.ts
@@ -1,6 +1,7 @@
 /**
- * What a daemon knows of a service's targets: loads between reports, limits,
- * paces and prefixes; and from these where one request goes.
+ * Tracks a service's targets in one daemon: load between reports, concurrency
+ * limits, speed and recent prefixes. Chooses the target of each request from
+ * these.
  */
 import type { MonotonicTime } from "../types.ts";
 import {
@@ -20,57 +21,57 @@
 /** How often targets are compared with one another, milliseconds. */
 const COMPARE_EVERY = 500;
 
-/** Share of a prompt taken to be read already where its prefix is held. */
-const PREFIX_SHARE = 0.5;
+/** Share of the prefill cost assumed to be saved where the prefix is cached. */
+const CACHED_PREFIX_SHARE = 0.5;
 
-/** A target as its last report shows it. */
+/** A target's load by its last report. */
 export interface ITargetLoadReport {
   readonly id: string;
-  /** Requests running and queued there. */
+  /** Requests running and queued at the target. */
   readonly reported: number;
-  /** The moment, on this daemon's clock, the report describes. */
+  /** The time the report describes, on this daemon's clock. */
   readonly describes: MonotonicTime;
 }
 
-/** What is known of a service's targets at one moment. */
+/** The targets of a service at one moment. */
 export interface ITargetsUpdate {
-  /** Those that can serve now. */
+  /** Targets that can serve now. */
   readonly targets: readonly ITargetLoadReport[];
-  /** Daemons that send to them, this one included. */
+  /** Daemons that send to these targets, this one included. */
   readonly daemons: number;
 }
 
-/** One request at one target. */
+/** One request sent to one target. */
 export interface ITrackedRequest extends ISentRequest {
-  /** Cost of reading the prompt, in generated tokens. */
+  /** Cost of the prompt's prefill, in generated tokens. */
   readonly promptCost: number;
-  /** Milliseconds the first token may take. */
+  /** Milliseconds after which the first token is late. */
   readonly firstTokenBound: number;
-  /** Milliseconds a later token may take. */
+  /** Milliseconds after which a later token is late. */
   readonly tokenGapBound: number;
-  /** Whether it was counted as late before it came. */
+  /** Whether the first token was counted as late before it arrived. */
   isOverdue: boolean;
   /** Null until the first token. */
   lastTokenAt: MonotonicTime | null;
   isEnded: boolean;
 }
 
-/** A request to find a target for. */
+/** A request that needs a target. */
 export interface IRoutingRequest {
   readonly work: IWorkItem;
-  /** Targets that failed this request already. */
+  /** Targets that have already failed this request. */
   readonly avoid: ReadonlySet<string>;
 }
 
 /** The targets of one service. */
 export class TargetTracker {
   readonly #runTime: RunTimeEstimator;
-  readonly #known = new Map<string, TrackedTarget>();
-  readonly #slow = new OutlierDetector();
+  readonly #tracked = new Map<string, TrackedTarget>();
+  readonly #outliers = new OutlierDetector();
   readonly #prefixes = new PrefixAffinity();
-  /** Requests without a first token, in the order they were sent. */
+  /** Requests without a first token, in the order sent. */
   readonly #unanswered = new Set<ITrackedRequest>();
-  #present: readonly TrackedTarget[] = [];
+  #available: readonly TrackedTarget[] = [];
   #daemons = 1;
   #comparedAt: MonotonicTime = 0;
 
@@ -78,45 +79,45 @@
     this.#runTime = runTime;
   }
 
-  /** Requests this daemon may have in flight, with what others have there. */
+  /** Requests this daemon may have in flight, given what others have there. */
   get usableSlots(): number {
-    let reach = 0;
-    for (const { ownInFlight, freeSlots } of this.#present) {
-      reach += ownInFlight + Math.max(0, freeSlots);
+    let slots = 0;
+    for (const { ownInFlight, freeSlots } of this.#available) {
+      slots += ownInFlight + Math.max(0, freeSlots);
     }
-    return reach;
+    return slots;
   }
 
   healthOf(target: string): TargetHealth {
-    return this.#slow.healthOf(target);
+    return this.#outliers.healthOf(target);
   }
 
-  /** Takes in the targets that can serve now, with their reports. */
-  update(reports: ITargetsUpdate, now: MonotonicTime): void {
-    const { targets, daemons } = reports;
+  /** Updates the targets that can serve now and their load. */
+  update(update: ITargetsUpdate, now: MonotonicTime): void {
+    const { targets, daemons } = update;
     this.#daemons = daemons;
-    this.#present = targets.map(({ id }) => this.#knownOf(id));
+    this.#available = targets.map(({ id }) => this.#trackedOf(id));
     for (const { id, reported, describes } of targets) {
-      this.#knownOf(id).update(reported, describes, daemons);
+      this.#trackedOf(id).update(reported, describes, daemons);
     }
-    this.#noteOverdue(now);
+    this.#recordOverdue(now);
     if (now - this.#comparedAt >= COMPARE_EVERY) {
       this.#comparedAt = now;
-      const present = targets.map(({ id }) => id);
-      this.#slow.compare(present, now);
+      const ids = targets.map(({ id }) => id);
+      this.#outliers.compare(ids, now);
     }
-    if (this.#known.size > this.#present.length) {
-      this.#forgetIdle();
+    if (this.#tracked.size > this.#available.length) {
+      this.#removeIdle();
     }
   }
 
-  /** Where a request goes; null when no target is left to try. */
-  choose(choice: IRoutingRequest, random: () => number): string | null {
-    const { work, avoid } = choice;
-    const holders = this.#prefixes.targetsOf(work.prefix);
+  /** The target for a request; null when none is left to try. */
+  choose(request: IRoutingRequest, random: () => number): string | null {
+    const { work, avoid } = request;
+    const prefixTargets = this.#prefixes.targetsOf(work.prefix);
     const chosen = chooseCandidate(
-      this.#present,
-      { work, avoid, prefixTargets: holders, daemons: this.#daemons },
+      this.#available,
+      { work, avoid, prefixTargets, daemons: this.#daemons },
       random,
     );
     if (chosen === null) {
@@ -126,123 +127,129 @@
     return chosen.id;
   }
 
-  /** A request is sent to a target. */
+  /** Records that a request is sent to a target. */
   startRequest(
     target: string,
     work: IWorkItem,
     now: MonotonicTime,
   ): ITrackedRequest {
     const cost = work.promptTokens * PROMPT_TOKEN_COST;
-    const holders = this.#prefixes.targetsOf(work.prefix);
-    const isHeld = holders.includes(target);
-    const use: ITrackedRequest = {
+    const prefixTargets = this.#prefixes.targetsOf(work.prefix);
+    const isPrefixCached = prefixTargets.includes(target);
+    const request: ITrackedRequest = {
       target,
       sentAt: now,
-      promptCost: isHeld ? cost * (1 - PREFIX_SHARE) : cost,
-      firstTokenBound: boundOf(work, now),
+      promptCost: isPrefixCached ? cost * (1 - CACHED_PREFIX_SHARE) : cost,
+      firstTokenBound: firstTokenBoundOf(work, now),
       tokenGapBound: tokenGapBound(work),
       isOverdue: false,
       lastTokenAt: null,
       isEnded: false,
     };
-    this.#knownOf(target).startRequest(use.promptCost, now);
-    this.#slow.recordSent(use);
-    this.#unanswered.add(use);
-    return use;
+    this.#trackedOf(target).startRequest(request.promptCost, now);
+    this.#outliers.recordSent(request);
+    this.#unanswered.add(request);
+    return request;
   }
 
-  /** Tokens came for a request. */
-  recordTokens(use: ITrackedRequest, count: number, now: MonotonicTime): void {
-    const { adaptiveLimit } = this.#knownOf(use.target);
-    if (use.lastTokenAt === null) {
-      const time = now - use.sentAt;
-      this.#answered(use);
-      this.#slow.recordFirstToken(use.target, time, now);
+  /** Records tokens received for a request. */
+  recordTokens(
+    request: ITrackedRequest,
+    count: number,
+    now: MonotonicTime,
+  ): void {
+    const { adaptiveLimit } = this.#trackedOf(request.target);
+    if (request.lastTokenAt === null) {
+      const time = now - request.sentAt;
+      this.#endUnanswered(request);
+      this.#outliers.recordFirstToken(request.target, time, now);
       this.#runTime.recordFirstToken(time);
-      if (!use.isOverdue) {
-        const isLate = time > use.firstTokenBound;
-        adaptiveLimit.recordFirstToken(isLate, use.sentAt, now);
+      if (!request.isOverdue) {
+        const isLate = time > request.firstTokenBound;
+        adaptiveLimit.recordFirstToken(isLate, request.sentAt, now);
       }
     } else {
-      const gap = (now - use.lastTokenAt) / count;
-      this.#slow.recordTokenGap(use.target, gap, now);
+      const gap = (now - request.lastTokenAt) / count;
+      this.#outliers.recordTokenGap(request.target, gap, now);
       this.#runTime.recordTokenGap(gap);
-      adaptiveLimit.recordTokenGap(gap > use.tokenGapBound, now);
+      adaptiveLimit.recordTokenGap(gap > request.tokenGapBound, now);
     }
-    use.lastTokenAt = now;
+    request.lastTokenAt = now;
   }
 
   /**
-   * The caller has taken what came and more is read from now on: the time it
-   * took is its own, not the target's.
+   * The caller was slow to read and reading resumes now: the pause counts as
+   * the caller's time, not the target's.
    */
-  resumeRequest(use: ITrackedRequest, now: MonotonicTime): void {
-    if (use.lastTokenAt !== null) {
-      use.lastTokenAt = now;
+  resumeRequest(request: ITrackedRequest, now: MonotonicTime): void {
+    if (request.lastTokenAt !== null) {
+      request.lastTokenAt = now;
     }
   }
 
-  /** A request has ended at its target. */
-  endRequest(use: ITrackedRequest, now: MonotonicTime): void {
-    if (use.isEnded) {
+  /** Records that a request has ended at its target. */
+  endRequest(request: ITrackedRequest, now: MonotonicTime): void {
+    if (request.isEnded) {
       return;
     }
-    use.isEnded = true;
-    this.#knownOf(use.target).endRequest(now);
-    if (use.lastTokenAt === null) {
-      this.#answered(use);
+    request.isEnded = true;
+    this.#trackedOf(request.target).endRequest(now);
+    if (request.lastTokenAt === null) {
+      this.#endUnanswered(request);
     }
   }
 
-  #answered(use: ITrackedRequest): void {
-    this.#knownOf(use.target).finishPrompt(use.promptCost);
-    this.#slow.clearUnanswered(use);
-    this.#unanswered.delete(use);
+  #endUnanswered(request: ITrackedRequest): void {
+    this.#trackedOf(request.target).finishPrompt(request.promptCost);
+    this.#outliers.clearUnanswered(request);
+    this.#unanswered.delete(request);
   }
 
   /**
-   * Counts first tokens that are late before they have come. Waiting for them
-   * would tell of a queue inside the target only when it has worked it off.
+   * Counts first tokens as late before they arrive. Waiting for them would
+   * reveal a queue inside the target only after it has drained.
    */
-  #noteOverdue(now: MonotonicTime): void {
-    for (const use of this.#unanswered) {
-      const age = now - use.sentAt;
+  #recordOverdue(now: MonotonicTime): void {
+    for (const request of this.#unanswered) {
+      const age = now - request.sentAt;
       if (age <= FIRST_TOKEN_BOUND) {
         return;
       }
-      if (!use.isOverdue && age > use.firstTokenBound) {
-        use.isOverdue = true;
-        const { adaptiveLimit } = this.#knownOf(use.target);
-        adaptiveLimit.recordFirstToken(true, use.sentAt, now);
+      if (!request.isOverdue && age > request.firstTokenBound) {
+        request.isOverdue = true;
+        const { adaptiveLimit } = this.#trackedOf(request.target);
+        adaptiveLimit.recordFirstToken(true, request.sentAt, now);
       }
     }
   }
 
-  #knownOf(target: string): TrackedTarget {
-    let known = this.#known.get(target);
-    if (known === undefined) {
-      known = new TrackedTarget(target, this.#slow);
-      this.#known.set(target, known);
+  #trackedOf(target: string): TrackedTarget {
+    let tracked = this.#tracked.get(target);
+    if (tracked === undefined) {
+      tracked = new TrackedTarget(target, this.#outliers);
+      this.#tracked.set(target, tracked);
     }
-    return known;
+    return tracked;
   }
 
-  /** Forgets targets that left, once nothing of this daemon runs there. */
-  #forgetIdle(): void {
-    const present = new Set(this.#present);
-    for (const [id, known] of this.#known) {
-      if (!present.has(known) && known.ownInFlight === 0) {
-        this.#known.delete(id);
+  /**
+   * Removes targets that have left, once no request of this daemon runs there.
+   */
+  #removeIdle(): void {
+    const available = new Set(this.#available);
+    for (const [id, tracked] of this.#tracked) {
+      if (!available.has(tracked) && tracked.ownInFlight === 0) {
+        this.#tracked.delete(id);
       }
     }
   }
 }
 
 /**
- * Milliseconds until the first token is late. How long a plain call takes is
- * the service's own affair: it may take half of what it has.
+ * Milliseconds until the first token is late. The run time of a plain call
+ * depends on the service, so it may take half of the time to its deadline.
  */
-function boundOf(work: IWorkItem, now: MonotonicTime): number {
+function firstTokenBoundOf(work: IWorkItem, now: MonotonicTime): number {
   return work.isCall
     ? (work.deadline - now) / 2
     : firstTokenBound(work.promptTokens);
--- a/src/common/decisions/tracked_target.ts
+++ b/src/common/decisions/tracked_target.ts
@@ -1,4 +1,4 @@
-/** What a daemon knows of one target of a service. */
+/** State of one target of a service in one daemon. */
 import type { MonotonicTime } from "../types.ts";
 import { AdaptiveLimit } from "./adaptive_limit.ts";
 import type { ICandidate } from "./routing.ts";
@@ -6,38 +6,38 @@
 import { TargetHealth } from "./outlier_detector.ts";
 import { TargetLoad } from "./target_load.ts";
 
-/** Requests at once at a target on probation. */
+/** Requests in flight allowed to a target on probation. */
 const PROBATION_REQUESTS = 1;
 
-/** Load, limit and standing of one target, as routing compares them. */
+/** Load, limit and health of one target, as routing compares them. */
 export class TrackedTarget implements ICandidate {
   readonly id: string;
   readonly adaptiveLimit = new AdaptiveLimit();
   readonly #load = new TargetLoad();
-  readonly #slow: OutlierDetector;
-  #unread = 0;
+  readonly #outliers: OutlierDetector;
+  #pendingPromptCost = 0;
   #daemons = 1;
 
-  constructor(id: string, slow: OutlierDetector) {
+  constructor(id: string, outliers: OutlierDetector) {
     this.id = id;
-    this.#slow = slow;
+    this.#outliers = outliers;
   }
 
   get load(): number {
     return this.#load.total;
   }
 
-  /** Requests this daemon has there. */
+  /** Requests this daemon has in flight at the target. */
   get ownInFlight(): number {
     return this.#load.ownInFlight;
   }
 
   get pendingPromptCost(): number {
-    return this.#unread;
+    return this.#pendingPromptCost;
   }
 
   get pace(): number {
-    return this.#slow.paceOf(this.id);
+    return this.#outliers.paceOf(this.id);
   }
 
   get limit(): number {
@@ -45,29 +45,32 @@
   }
 
   /**
-   * Requests this daemon may send there now. Its own part of the limit is
-   * free to it whatever others have there: otherwise a daemon whose limit is
-   * behind the others' sends nothing, learns nothing and stays behind.
+   * Requests this daemon may send there now. It may always use its own part of
+   * the limit, whatever other daemons have there: otherwise a daemon whose
+   * limit is lower than the others' sends nothing, learns nothing and stays
+   * behind.
    */
   get freeSlots(): number {
-    switch (this.#slow.healthOf(this.id)) {
+    switch (this.#outliers.healthOf(this.id)) {
       case TargetHealth.SetAside:
         return 0;
       case TargetHealth.Probation:
         return Math.max(0, PROBATION_REQUESTS - this.ownInFlight);
       case TargetHealth.InService:
         return Math.max(
-          this.#ownPart - this.ownInFlight,
+          this.#ownShare - this.ownInFlight,
           this.limit - this.load,
         );
     }
   }
 
-  get #ownPart(): number {
+  get #ownShare(): number {
     return Math.max(1, this.limit / this.#daemons);
   }
 
-  /** Takes in a report, and how many daemons send to the target. */
+  /**
+   * Updates the load from a report, and the number of daemons that send there.
+   */
   update(reported: number, describes: MonotonicTime, daemons: number): void {
     this.#daemons = daemons;
     this.#load.update(reported, describes);
@@ -76,13 +79,13 @@
 
   startRequest(promptCost: number, now: MonotonicTime): void {
     this.#load.recordSent(now);
-    this.#unread += promptCost;
+    this.#pendingPromptCost += promptCost;
     this.adaptiveLimit.recordLoad(this.load);
   }
 
-  /** The prompt of a request has been read, or will not be. */
+  /** Records that the prefill of a prompt has finished, or will never run. */
   finishPrompt(promptCost: number): void {
-    this.#unread -= promptCost;
+    this.#pendingPromptCost -= promptCost;
   }
 
   endRequest(now: MonotonicTime): void {
--- a/src/common/decisions/work_item.ts
+++ b/src/common/decisions/work_item.ts
@@ -1,30 +1,30 @@
-/** A request as the decisions see it: who asks, how much, and until when. */
+/** A request as scheduling sees it: the account, its size and its deadline. */
 import type { AccountName, MonotonicTime, RequestId } from "../types.ts";
 
 /**
- * Cost of one prompt token, in generated tokens. Reading a prompt fills the
- * processor while generating waits for memory, so it is far cheaper.
+ * Cost of one prompt token, in generated tokens. Prefill is bound by compute
+ * and generation by memory bandwidth, so a prompt token is far cheaper.
  */
 export const PROMPT_TOKEN_COST = 0.05;
 
-/** Asked tokens from which work counts as long. */
+/** Requested tokens from which work counts as long. */
 export const LONG_WORK_TOKENS = 256;
 
-/** What is asked, before it is sent anywhere. */
+/** A request to be scheduled. */
 export interface IWorkItem {
   readonly id: RequestId;
   readonly account: AccountName;
   /** Higher goes first; 0 to 9. */
   readonly priority: number;
   readonly promptTokens: number;
-  /** The most tokens the answer may have. */
+  /** Maximum tokens of the answer. */
   readonly askedTokens: number;
-  /** Whether it is a plain call, answered at once and not in tokens. */
+  /** Whether it is a plain call, answered at once and not as tokens. */
   readonly isCall: boolean;
-  /** Equal for prompts that begin alike; empty when not known. */
+  /** Equal for prompts with the same beginning; empty when unknown. */
   readonly prefix: string;
   readonly arrivedAt: MonotonicTime;
-  /** When the answer is worth nothing any more. */
+  /** When the answer becomes useless to the caller. */
   readonly deadline: MonotonicTime;
 }
 
@@ -33,7 +33,7 @@
   return work.askedTokens + work.promptTokens * PROMPT_TOKEN_COST;
 }
 
-/** Whether work holds its slot for long. */
+/** Whether work occupies its slot for a long time. */
 export function isLong(work: IWorkItem): boolean {
   return work.askedTokens >= LONG_WORK_TOKENS;
 }
