--- a/src/common/groups/domain_lease.ts
+++ b/src/common/groups/domain_lease.ts
@@ -1,13 +1,12 @@
 /**
- * The lease on a fabric domain's record, as a pure state machine.
+ * The lease on a fabric domain's record, as a state machine without side
+ * effects. Without it two daemons would order the same engines into two groups.
  *
- * Nobody compares clocks: an observer takes over once it has seen the same
+ * Clocks are never compared: an observer takes over once it has seen the same
  * version for the lease time plus a margin on its own clock; a holder counts
- * from the moment it *sent* the last renewal that succeeded.
- *
- * What goes wrong without it: two daemons would order the same engines into
- * two groups. A process paused past its lease still believes it holds it, so
- * a gap between two ticks counts as a lost lease until a renewal succeeds.
+ * from the moment it *sent* the last renewal that succeeded. A process that was
+ * paused beyond its lease still assumes that it holds it, so a gap between two
+ * ticks suspends the lease until a renewal succeeds.
  */
 import { getInitialSnapshot, getNextSnapshot } from "xstate";
 import type { DaemonId, DomainName, MonotonicTime } from "../types.ts";
@@ -22,10 +21,10 @@
   LeaseAction,
 } from "./types.ts";
 
-/** Share of the renewal period after which a write in doubt is tried again. */
+/** Share of the renewal period after which a write in doubt is retried. */
 const SETTLE_SHARE = 0.25;
 
-/** The record of a domain in which nothing has happened yet. */
+/** The record of a domain that has none yet. */
 function emptyRecord(domain: DomainName): IDomainRecord {
   return {
     domain,
@@ -43,9 +42,9 @@
   readonly #domain: DomainName;
   readonly #timing: ILeaseTiming;
   #snapshot = getInitialSnapshot(LEASE_MACHINE);
-  #seen: IVersionedRecord | null = null;
+  #lastSeen: IVersionedRecord | null = null;
   #seenSince: MonotonicTime = Number.NEGATIVE_INFINITY;
-  /** When a read last showed the version seen. */
+  /** When a read last returned the same version again. */
   #confirmedAt: MonotonicTime = Number.NEGATIVE_INFINITY;
   #heldUntil: MonotonicTime = Number.NEGATIVE_INFINITY;
   #renewAt: MonotonicTime = Number.NEGATIVE_INFINITY;
@@ -65,7 +64,7 @@
 
   /** The newest record seen; null before the first read. */
   get lastSeen(): IVersionedRecord | null {
-    return this.#seen;
+    return this.#lastSeen;
   }
 
   get state(): LeaseState {
@@ -73,8 +72,8 @@
   }
 
   /**
-   * Whether an order sent at this moment is covered by the lease and follows
-   * the groups in force: not while a change of them is unsettled.
+   * Whether an order sent now is covered by the lease and follows the current
+   * groups: not while a change to them is unsettled.
    */
   mayOrder(now: MonotonicTime): boolean {
     return (
@@ -85,22 +84,24 @@
     );
   }
 
-  /** Time passes; called at least every half pause bound. */
+  /**
+   * Advances the time. Call it at least once in every half of the pause bound.
+   */
   tick(now: MonotonicTime): readonly LeaseAction[] {
     const before = this.state;
     if (this.#isPaused(now)) {
-      this.#send(LeaseEvent.Paused);
+      this.#dispatch(LeaseEvent.Paused);
       this.#renewAt = now;
     }
     this.#lastTick = now;
     const isOver = now >= this.#heldUntil - this.#timing.safetyMargin;
     if (isOver && before === LeaseState.Holding) {
-      this.#send(LeaseEvent.Lapsed);
+      this.#dispatch(LeaseEvent.Lapsed);
     }
-    return [...this.#changed(before), ...this.#writeIfDue(now)];
+    return [...this.#holdingChange(before), ...this.#writeIfDue(now)];
   }
 
-  /** A read or a watch brought the record; null when there is none. */
+  /** Handles a record from a read or a watch; null when there is none. */
   observe(
     seen: IVersionedRecord | null,
     now: MonotonicTime,
@@ -110,7 +111,7 @@
       return [];
     }
     this.#absentSince = null;
-    const known = this.#seen?.version ?? -1;
+    const known = this.#lastSeen?.version ?? -1;
     if (seen.version === known) {
       this.#confirmedAt = now;
     }
@@ -118,53 +119,53 @@
       return [];
     }
     const before = this.state;
-    this.#seen = seen;
+    this.#lastSeen = seen;
     this.#seenSince = now;
     const pending = this.#pending;
     this.#pending = null;
     if (pending?.isAttempt(seen.record.attempt)) {
-      this.#extend(pending.sentAt);
+      this.#extendLease(pending.sentAt);
     } else if (seen.record.holder !== this.#daemon) {
-      this.#send(LeaseEvent.HolderChanged);
+      this.#dispatch(LeaseEvent.HolderChanged);
     }
-    return this.#changed(before);
+    return this.#holdingChange(before);
   }
 
   /**
-   * Another process answers in a holder's place: the holder has ended, and its
-   * lease need not be waited out. Silence or a refused connection is no such
-   * proof, since a cut looks the same.
+   * Handles a proof that a holder has ended: another process answers at its
+   * address, so its lease need not be waited out. Silence or a refused
+   * connection is no such proof, since a network partition looks the same.
    */
   handleHolderEnded(holder: DaemonId): void {
     this.#endedHolder = holder;
   }
 
-  /** The holder changes the groups; refused unless the lease covers it. */
+  /** Writes new groups; does nothing unless the lease covers it. */
   changeGroups(
     groups: Pick<IDomainRecord, "groups" | "nextGroup">,
     now: MonotonicTime,
   ): readonly LeaseAction[] {
-    if (!this.mayOrder(now) || this.#pending !== null || !this.#seen) {
+    if (!this.mayOrder(now) || this.#pending !== null || !this.#lastSeen) {
       return [];
     }
-    const record = { ...this.#seen.record, ...groups };
+    const record = { ...this.#lastSeen.record, ...groups };
     return this.#write({ record, isChange: true }, now);
   }
 
-  /** Gives the lease back, so that another daemon need not wait. */
+  /** Releases the lease, so that another daemon need not wait for its end. */
   release(now: MonotonicTime): readonly LeaseAction[] {
-    if (this.state === LeaseState.Observing || !this.#seen) {
+    if (this.state === LeaseState.Observing || !this.#lastSeen) {
       return [];
     }
     const before = this.state;
-    const record = { ...this.#seen.record, holder: null };
+    const record = { ...this.#lastSeen.record, holder: null };
     const actions = this.#write({ record, isChange: true }, now);
-    this.#send(LeaseEvent.HolderChanged);
+    this.#dispatch(LeaseEvent.HolderChanged);
     this.#pending = null;
-    return [...this.#changed(before), ...actions];
+    return [...this.#holdingChange(before), ...actions];
   }
 
-  /** The write of this attempt took effect as this version. */
+  /** Handles a write that took effect as this version. */
   handleWriteSucceeded(
     attempt: string,
     version: number,
@@ -176,12 +177,12 @@
     const before = this.state;
     this.#pending = null;
     this.#absentSince = null;
-    this.#seen = { version, record: pending.content.record };
-    this.#extend(pending.sentAt);
-    return this.#changed(before);
+    this.#lastSeen = { version, record: pending.content.record };
+    this.#extendLease(pending.sentAt);
+    return this.#holdingChange(before);
   }
 
-  /** The write had no effect, since the record had moved on. */
+  /** Handles a write without effect, since the record's version had changed. */
   handleWriteConflict(attempt: string): readonly LeaseAction[] {
     if (this.#pending?.isAttempt(attempt)) {
       this.#pending.markConflicted();
@@ -189,7 +190,7 @@
     return [{ kind: LeaseActionKind.Read }];
   }
 
-  /** This sending of the write certainly did not take effect. */
+  /** Handles a write request that certainly had no effect. */
   handleWriteFailed(attempt: string): readonly LeaseAction[] {
     if (this.#pending?.isAttempt(attempt) && !this.#pending.handleFailure()) {
       this.#pending = null;
@@ -197,7 +198,7 @@
     return [];
   }
 
-  /** The answer was lost: only reading back tells whether it took effect. */
+  /** Handles a lost answer: only a read shows whether the write took effect. */
   handleWriteUnknown(attempt: string): readonly LeaseAction[] {
     if (this.#pending?.isAttempt(attempt)) {
       this.#pending.markInDoubt();
@@ -210,28 +211,31 @@
     return gap > this.#timing.pauseBound;
   }
 
-  #extend(sentAt: MonotonicTime): void {
+  #extendLease(sentAt: MonotonicTime): void {
     this.#heldUntil = sentAt + this.#timing.leaseTime;
     this.#renewAt = sentAt + this.#timing.renewEvery;
-    this.#send(LeaseEvent.WriteSucceeded);
+    this.#dispatch(LeaseEvent.WriteSucceeded);
   }
 
   #writeIfDue(now: MonotonicTime): readonly LeaseAction[] {
     if (this.#pending !== null) {
-      return this.#settle(this.#pending, now);
+      return this.#settlePending(this.#pending, now);
     }
-    if (this.#isLongAbsent(now)) {
-      this.#send(LeaseEvent.HolderChanged);
+    if (this.#isAbsentTooLong(now)) {
+      this.#dispatch(LeaseEvent.HolderChanged);
     }
-    if (this.state !== LeaseState.Observing && this.#seen) {
-      const { record } = this.#seen;
+    if (this.state !== LeaseState.Observing && this.#lastSeen) {
+      const { record } = this.#lastSeen;
       const isDue = now >= this.#renewAt && this.#absentSince === null;
       return isDue ? this.#write({ record, isChange: false }, now) : [];
     }
     return this.#mayTakeOver(now) ? this.#takeOver(now) : [];
   }
 
-  #settle(pending: PendingWrite, now: MonotonicTime): readonly LeaseAction[] {
+  #settlePending(
+    pending: PendingWrite,
+    now: MonotonicTime,
+  ): readonly LeaseAction[] {
     if (!pending.isDue(now, this.#timing.renewEvery * SETTLE_SHARE)) {
       return [];
     }
@@ -239,45 +243,45 @@
       pending.markResent();
       return [writeAction(pending.content)];
     }
-    if (this.#isLongAbsent(now)) {
+    if (this.#isAbsentTooLong(now)) {
       this.#pending = null;
     }
     return [{ kind: LeaseActionKind.Read }];
   }
 
   #mayTakeOver(now: MonotonicTime): boolean {
-    const holder = this.#seen?.record.holder ?? null;
+    const holder = this.#lastSeen?.record.holder ?? null;
     if (this.#absentSince !== null) {
-      return this.#seen === null || this.#isLongAbsent(now);
+      return this.#lastSeen === null || this.#isAbsentTooLong(now);
     }
     const isFree =
       holder === null ||
       holder === this.#daemon ||
       holder === this.#endedHolder;
-    // Confirmed by a read: many daemons that read seldom would otherwise each
-    // try to take over from a holder whose renewals they have not seen.
-    const isOver = this.#confirmedAt - this.#seenSince >= this.#patience;
-    return this.#seen !== null && (isFree || isOver);
+    // Confirmed by a read: otherwise each of many daemons that read seldom
+    // would try to take over from a holder whose renewals it has not seen.
+    const isOver = this.#confirmedAt - this.#seenSince >= this.#takeoverDelay;
+    return this.#lastSeen !== null && (isFree || isOver);
   }
 
   #takeOver(now: MonotonicTime): readonly LeaseAction[] {
-    const record = this.#seen?.record ?? emptyRecord(this.#domain);
+    const record = this.#lastSeen?.record ?? emptyRecord(this.#domain);
     const taken = { ...record, epoch: record.epoch + 1, holder: this.#daemon };
     return this.#write({ record: taken, isChange: false }, now);
   }
 
-  get #patience(): number {
+  get #takeoverDelay(): number {
     return this.#timing.leaseTime + this.#timing.takeoverMargin;
   }
 
   /**
-   * Whether a known record has been gone for so long that its holder, which
-   * cannot renew it either, no longer orders. It is then written anew from
-   * what was last seen, so that epochs go on rising.
+   * Whether a known record has been absent for so long that its holder, which
+   * cannot renew it either, no longer sends orders. It is then written again
+   * from the last one seen, so that epochs keep rising.
    */
-  #isLongAbsent(now: MonotonicTime): boolean {
+  #isAbsentTooLong(now: MonotonicTime): boolean {
     const since = this.#absentSince;
-    return since !== null && now - since >= this.#patience;
+    return since !== null && now - since >= this.#takeoverDelay;
   }
 
   #write(
@@ -290,23 +294,23 @@
     const written = {
       ...content,
       record: { ...content.record, attempt },
-      expectedVersion: isAbsent ? null : (this.#seen?.version ?? null),
+      expectedVersion: isAbsent ? null : (this.#lastSeen?.version ?? null),
     };
     this.#pending = new PendingWrite(written, now);
     return [writeAction(written)];
   }
 
-  #send(type: LeaseEvent): void {
+  #dispatch(type: LeaseEvent): void {
     this.#snapshot = getNextSnapshot(LEASE_MACHINE, this.#snapshot, { type });
   }
 
-  #changed(before: LeaseState): readonly LeaseAction[] {
-    const held = before === LeaseState.Holding;
-    const holds = this.state === LeaseState.Holding;
-    if (held === holds) {
+  #holdingChange(before: LeaseState): readonly LeaseAction[] {
+    const wasHolding = before === LeaseState.Holding;
+    const isHolding = this.state === LeaseState.Holding;
+    if (wasHolding === isHolding) {
       return [];
     }
-    const kind = holds ? LeaseActionKind.Acquired : LeaseActionKind.Lost;
+    const kind = isHolding ? LeaseActionKind.Acquired : LeaseActionKind.Lost;
     return [{ kind }];
   }
 }
--- a/src/common/groups/domain_lease_test.ts
+++ b/src/common/groups/domain_lease_test.ts
@@ -37,7 +37,7 @@
   GiveBack = "give_back",
 }
 
-/** A fault of one holder, coming about after a wait. */
+/** A fault of one holder, after a wait. */
 interface IStep {
   readonly wait: number;
   readonly holder: number;
@@ -50,7 +50,7 @@
   readonly run: () => void;
 }
 
-/** One holder process with the faults that wait for its next call. */
+/** A holder process and the faults to apply to its next calls. */
 class Holder {
   readonly lease: DomainLease;
   readonly offset: number;
@@ -71,7 +71,7 @@
   }
 }
 
-/** Plays one schedule and checks after every event. */
+/** Runs one schedule and checks the invariants at every event. */
 class World {
   readonly holders = ["a", "b", "c"].map((name) => new Holder(name));
   #now = 0;
@@ -95,13 +95,13 @@
     this.#runUntil(at);
   }
 
-  /** Lets everything settle without further faults. */
-  calm(): void {
+  /** Runs without further faults until everything settles. */
+  settle(): void {
     this.holders.forEach((holder) => holder.faults.clear());
     this.#runUntil(this.#now + 5_000);
   }
 
-  /** An operator deletes the object by hand. */
+  /** Deletes the object, as an operator might. */
   remove(): void {
     this.#history.push(null);
   }
@@ -212,11 +212,11 @@
       return null;
     }
     expect(record.epoch, "epochs only rise").to.be.at.least(this.#highestEpoch);
-    const isHandedOn =
+    const isNewHolder =
       record.holder !== null &&
       before !== null &&
       record.holder !== before.record.holder;
-    if (isHandedOn) {
+    if (isNewHolder) {
       expect(record.epoch, "a new holder has a new epoch").to.be.greaterThan(
         before.record.epoch,
       );
@@ -259,7 +259,10 @@
     }
   }
 
-  /** Plain comparisons: it runs at every event of thousands of schedules. */
+  /**
+   * Uses plain comparisons for speed: it runs at every event of thousands of
+   * schedules.
+   */
   #check(): void {
     const ordering = this.holders.filter(({ lease, offset }) =>
       lease.mayOrder(this.#now + offset),
@@ -268,12 +271,12 @@
       throw new Error(`${ordering.length} holders may order at ${this.#now}`);
     }
     const seen = ordering[0]?.lease.lastSeen?.record;
-    const truth = this.current?.record;
-    const isAside =
+    const stored = this.current?.record;
+    const isOutdated =
       seen !== undefined &&
-      truth !== undefined &&
-      (seen.nextGroup !== truth.nextGroup || seen.epoch !== truth.epoch);
-    if (isAside) {
+      stored !== undefined &&
+      (seen.nextGroup !== stored.nextGroup || seen.epoch !== stored.epoch);
+    if (isOutdated) {
       throw new Error(`orders not by the groups in force at ${this.#now}`);
     }
   }
@@ -291,7 +294,7 @@
   { minLength: 5, maxLength: 40 },
 );
 
-/** The one holder left when all is calm. */
+/** The only holder once everything has settled. */
 function onlyHolder(world: World): DomainLease {
   const holding = world.holders
     .map(({ lease }) => lease)
@@ -306,7 +309,7 @@
       fc.property(SCHEDULES, (schedule) => {
         const world = new World();
         world.play(schedule);
-        world.calm();
+        world.settle();
         const { epoch, nextGroup } = onlyHolder(world).lastSeen?.record ?? {};
         expect(world.current?.record).to.include({ epoch, nextGroup });
       }),
@@ -314,15 +317,15 @@
     );
   });
 
-  // An operator deletes the domain's object by hand. Were it begun anew at
-  // epoch one, engines would refuse every order for good.
-  it("goes on with a higher epoch after its object was removed", () => {
+  // Guards against starting again at epoch one after an operator has deleted
+  // the domain's object: engines would refuse every order.
+  it("continues with a higher epoch after its object was deleted", () => {
     const world = new World();
     world.play([]);
-    world.calm();
+    world.settle();
     const before = onlyHolder(world).lastSeen?.record.epoch ?? 0;
     world.remove();
-    world.calm();
+    world.settle();
     const after = onlyHolder(world).lastSeen?.record.epoch;
     expect(after).to.be.greaterThan(before);
   });
@@ -348,10 +351,10 @@
     return actions.filter(({ kind }) => kind === LeaseActionKind.Write);
   }
 
-  // The holder's process is killed and starts again at the same address. Its
-  // peers hear the new process there; waiting out the old lease would leave
-  // lost groups unhealed for two seconds more.
-  it("is taken over at once", () => {
+  // Guards against waiting out the lease of a killed holder whose restarted
+  // process answers at the same address: lost groups would stay unhealed for
+  // two seconds more.
+  it("is taken over immediately", () => {
     const lease = observer();
     expect(writes(lease.tick(100))).to.deep.equal([]);
     lease.handleHolderEnded("old");
@@ -360,8 +363,9 @@
     expect(write).to.have.nested.property("record.epoch", 5);
   });
 
-  // The news that a holder ended comes late, when another one has followed.
-  it("is left to a holder that followed", () => {
+  // Guards against taking over from the next holder when the end of the
+  // previous one is learned late.
+  it("is left to the next holder", () => {
     const lease = observer();
     const next = { ...record, epoch: 5, holder: "next", attempt: "next/1" };
     lease.observe({ version: 8, record: next }, 50);
--- a/src/common/groups/domain_record_schema.ts
+++ b/src/common/groups/domain_record_schema.ts
@@ -1,4 +1,7 @@
-/** Checks a domain record read from the platform; people may have edited it. */
+/**
+ * Validates a domain record read from the platform, since people may have
+ * edited it.
+ */
 import { z } from "zod";
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
@@ -6,7 +9,7 @@
 import type { IFinding } from "../plans/types.ts";
 import type { IDomainRecord } from "./types.ts";
 
-/** The platform's kind of object that holds domain records. */
+/** The kind of platform object that holds domain records. */
 export const DOMAIN_KIND = "fabric_domains";
 
 const groupSchema = z.strictObject({
@@ -35,7 +38,7 @@
         context.addIssue({
           code: "custom",
           path: ["groups", index, "incarnations"],
-          message: "expected one for each member",
+          message: "expected one incarnation for each member",
         });
       }
       for (const member of group.members) {
@@ -43,7 +46,7 @@
           context.addIssue({
             code: "custom",
             path: ["groups", index, "members"],
-            message: `instance ${member} stands in two places`,
+            message: `instance ${member} is a member in two places`,
           });
         }
         seen.add(member);
@@ -51,7 +54,9 @@
     });
   });
 
-/** The record, or what is wrong with it; a bad record is never rewritten. */
+/**
+ * The record, or the findings about it; an invalid record is never overwritten.
+ */
 export function checkDomainRecord(
   name: string,
   value: unknown,
--- a/src/common/groups/formation.ts
+++ b/src/common/groups/formation.ts
@@ -1,14 +1,14 @@
 /**
- * Forms replica groups in one fabric domain. Pure: what is known goes in, the
- * wanted groups come out.
+ * Forms replica groups in one fabric domain. A function without side effects:
+ * it maps the known state to the wanted groups.
  *
- * A group never spans domains and an instance stands in at most one group of
- * the record, so that "no instance in two groups" needs no agreement beyond
- * the one conditional write of the record. A complete group is never broken
- * up; an incomplete one is kept as it is until it can be healed, since its
- * lost member may only have paused, and a member's return then heals it
- * without any write. Only where no instance is free is an incomplete group
- * given up, and then so that its members heal the others.
+ * A group never spans domains and an instance is in at most one group of the
+ * record, so "no instance in two groups" needs no agreement beyond the one
+ * conditional write of the record. A complete group is never dissolved. An
+ * incomplete one is kept unchanged until it can be healed: its lost member may
+ * only have paused, and then heals the group by returning, without any write.
+ * Only where no instance is free is an incomplete group dissolved, if its
+ * members can heal another.
  */
 import type {
   IInstance,
@@ -21,27 +21,27 @@
 import type { MemberMonitor } from "./member_monitor.ts";
 import type { IDomainRecord, IReplicaGroup } from "./types.ts";
 
-/** How many groups of which service a domain should have. */
+/** The number of groups of a service that a domain should have. */
 export interface IWantedGroups {
   readonly service: ServiceName;
   readonly model: string;
   readonly count: number;
 }
 
-/** What forming depends on besides the record. */
+/** The state that formation depends on besides the record. */
 export interface IFormationView {
   readonly instances: readonly IInstance[];
   readonly reports: ReadonlyMap<InstanceId, ISeenReport>;
   readonly monitor: MemberMonitor;
-  /** When an order to each instance was last answered or given up. */
+  /** When an order to each instance was last answered or abandoned. */
   readonly orderedAt: ReadonlyMap<InstanceId, MonotonicTime>;
   readonly now: MonotonicTime;
 }
 
-/** Bounds on forming. */
+/** Limits of formation. */
 export interface IFormationPolicy {
   readonly membersPerGroup: number;
-  /** A report older than this does not count as present, milliseconds. */
+  /** Maximum age of a report of a present member, milliseconds. */
   readonly freshness: number;
   /** How long an engine may act on an order after receipt, milliseconds. */
   readonly orderValidity: number;
@@ -49,10 +49,10 @@
   readonly concurrentLoads: number;
 }
 
-/** The part of a record that forming changes. */
+/** The part of a record that formation changes. */
 export type GroupChange = Pick<IDomainRecord, "groups" | "nextGroup">;
 
-/** The next groups of a record, or null when nothing is to change. */
+/** The next groups of a record, or null when nothing changes. */
 export function planGroupChange(
   record: IDomainRecord,
   wanted: readonly IWantedGroups[],
@@ -67,7 +67,7 @@
   return planner.result();
 }
 
-/** Works on a copy of a record's groups. */
+/** Plans changes on a copy of a record's groups. */
 class GroupPlanner {
   readonly #record: IDomainRecord;
   readonly #view: IFormationView;
@@ -92,8 +92,8 @@
 
   /**
    * Removes groups of services that are no longer served. A group beyond the
-   * wanted count stays: the count follows the platform's lagging list, and a
-   * short list must not break up complete groups.
+   * wanted count is kept: the count follows the platform's lagging list, and an
+   * incomplete list must not dissolve complete groups.
    */
   removeUnserved(wanted: readonly IWantedGroups[]): void {
     const services = new Set(wanted.map((entry) => entry.service));
@@ -102,16 +102,18 @@
     this.#groups = kept;
   }
 
-  /** Replaces lost members by free instances, nearly whole groups first. */
+  /**
+   * Replaces lost members by free instances, groups that lack the fewest first.
+   */
   heal(): void {
     for (const group of this.#incomplete()) {
-      if (this.#absent(group).length <= this.#free.length) {
+      if (this.#absentMembers(group).length <= this.#free.length) {
         this.#regenerate(group);
       }
     }
   }
 
-  /** Gives up the worst incomplete group while that heals another. */
+  /** Dissolves the most incomplete group while its members can heal another. */
   mergeIncomplete(): void {
     const incomplete = this.#incomplete();
     const service = incomplete[0]?.service;
@@ -120,8 +122,11 @@
     if (worst === undefined || best === undefined || worst === best) {
       return;
     }
-    const released = worst.members.filter((member) => this.#isFit(member));
-    if (this.#absent(best).length > this.#free.length + released.length) {
+    const released = worst.members.filter((member) => this.#isUsable(member));
+    if (
+      this.#absentMembers(best).length >
+      this.#free.length + released.length
+    ) {
       return;
     }
     this.#groups = this.#groups.filter((group) => group !== worst);
@@ -153,7 +158,7 @@
   }
 
   #form(service: ServiceName, model: string): void {
-    const members = this.#take(this.#policy.membersPerGroup, model);
+    const members = this.#takeFree(this.#policy.membersPerGroup, model);
     this.#groups.push({
       id: `${this.#record.domain}/${this.#nextGroup}`,
       service,
@@ -167,10 +172,12 @@
     this.#isChanged = true;
   }
 
-  /** The same group in its next generation, the others keeping their rank. */
+  /**
+   * Starts the group's next generation; the remaining members keep their ranks.
+   */
   #regenerate(group: IReplicaGroup): void {
-    const absent = this.#absent(group);
-    const spares = this.#take(absent.length, group.model);
+    const absent = this.#absentMembers(group);
+    const spares = this.#takeFree(absent.length, group.model);
     const members = group.members.map((member) =>
       absent.includes(member) ? (spares.shift() ?? member) : member,
     );
@@ -187,8 +194,10 @@
     this.#isChanged = true;
   }
 
-  /** Free instances, those that hold the model's weights first. */
-  #take(count: number, model: string): InstanceId[] {
+  /**
+   * Takes free instances, those that already hold the model's weights first.
+   */
+  #takeFree(count: number, model: string): InstanceId[] {
     const holds = (id: InstanceId) =>
       this.#view.reports.get(id)?.report.model === model;
     const ordered = [
@@ -203,14 +212,15 @@
   /** Groups with lost members, those that lack the fewest first. */
   #incomplete(): readonly IReplicaGroup[] {
     return this.#groups
-      .filter((group) => this.#lost(group).length > 0)
+      .filter((group) => this.#lostMembers(group).length > 0)
       .sort(
-        (left, right) => this.#lost(left).length - this.#lost(right).length,
+        (left, right) =>
+          this.#lostMembers(left).length - this.#lostMembers(right).length,
       );
   }
 
-  /** Members that are gone, or were restarted since the group was formed. */
-  #lost(group: IReplicaGroup): readonly InstanceId[] {
+  /** Members that are lost or have restarted since the group was formed. */
+  #lostMembers(group: IReplicaGroup): readonly InstanceId[] {
     const { monitor, now } = this.#view;
     return group.members.filter((member, rank) => {
       const known = this.#view.reports.get(member)?.report.incarnation;
@@ -220,21 +230,21 @@
     });
   }
 
-  /** Lost members that cannot take their own place again. */
-  #absent(group: IReplicaGroup): readonly InstanceId[] {
-    return this.#lost(group).filter((member) => !this.#isFit(member));
+  /** Lost members that cannot resume their own place. */
+  #absentMembers(group: IReplicaGroup): readonly InstanceId[] {
+    return this.#lostMembers(group).filter((member) => !this.#isUsable(member));
   }
 
   #findFree(): InstanceId[] {
-    const taken = new Set(this.#groups.flatMap((group) => group.members));
+    const assigned = new Set(this.#groups.flatMap((group) => group.members));
     return this.#view.instances
       .map((instance) => instance.id)
-      .filter((id) => !taken.has(id) && this.#isFit(id))
+      .filter((id) => !assigned.has(id) && this.#isUsable(id))
       .sort();
   }
 
-  /** Answered of late, not leaving, and not held out for flapping. */
-  #isFit(id: InstanceId): boolean {
+  /** Whether it has answered recently, is not leaving and is not held out. */
+  #isUsable(id: InstanceId): boolean {
     const { reports, monitor, now } = this.#view;
     const seen = reports.get(id);
     return (
--- a/src/common/groups/formation_test.ts
+++ b/src/common/groups/formation_test.ts
@@ -1,4 +1,4 @@
-/** Forming groups: what holds for every domain, and single decisions. */
+/** Formation of groups: invariants of every domain, and single decisions. */
 import { expect } from "chai";
 import fc from "fast-check";
 import { OrderKind } from "../services/services.ts";
@@ -10,7 +10,7 @@
 import { planOrders } from "./orders.ts";
 import type { IDomainRecord } from "./types.ts";
 
-const WATCH = {
+const MONITOR_POLICY = {
   pauseBound: 1_000,
   replaceAfter: 4_000,
   holdAfterLoss: 10_000,
@@ -33,9 +33,9 @@
   groups: [],
 };
 
-/** Engines of one domain whose silence and restarts a test decides. */
+/** Engines of one domain whose silence and restarts the test controls. */
 class Domain {
-  readonly watch = new MemberMonitor(WATCH);
+  readonly monitor = new MemberMonitor(MONITOR_POLICY);
   readonly reports = new Map<InstanceId, ISeenReport>();
   readonly silent = new Set<InstanceId>();
   readonly restarts = new Map<InstanceId, number>();
@@ -56,8 +56,8 @@
   }
 
   get view(): IFormationView {
-    const { instances, reports, watch, now } = this;
-    return { instances, reports, monitor: watch, now, orderedAt: new Map() };
+    const { instances, reports, monitor, now } = this;
+    return { instances, reports, monitor, now, orderedAt: new Map() };
   }
 
   get memberships() {
@@ -67,12 +67,12 @@
     }));
   }
 
-  /** Lets time pass with a look each second, and takes over what is planned. */
-  pass(seconds: number): void {
+  /** Advances the time with an update each second, and applies each plan. */
+  advance(seconds: number): void {
     for (let second = 0; second < seconds; second++) {
       this.now += 1_000;
       this.#report();
-      this.watch.update(this.instances, this.reports, this.now);
+      this.monitor.update(this.instances, this.reports, this.now);
       const next = planGroupChange(this.record, WANTED, this.view, POLICY);
       this.record = { ...this.record, ...next };
       this.#check();
@@ -115,87 +115,87 @@
     fc.assert(
       fc.property(fc.array(step, { maxLength: 40 }), (steps) => {
         const domain = new Domain(14);
-        domain.pass(1);
+        domain.advance(1);
         for (const { engine, what, wait } of steps) {
           const id = domain.instances[engine]?.id ?? "";
           domain.silent[what === "silence" ? "add" : "delete"](id);
           if (what === "restart") {
             domain.restarts.set(id, (domain.restarts.get(id) ?? 0) + 1);
           }
-          domain.pass(wait);
+          domain.advance(wait);
         }
         domain.silent.clear();
-        domain.pass(70);
+        domain.advance(70);
         expect(domain.record.groups, "whole again").to.have.length(3);
       }),
       { seed: 4_711, numRuns: 500, endOnFailure: true },
     );
   });
 
-  // A daemon takes the lease just after it has started, or after a pause, and
-  // has no fresh report of anybody. Taking that for silence would tear down
-  // every group of the domain, and users would see all of them load again.
-  it("does not take its own pause for the members' silence", () => {
+  // Guards against taking a daemon's own start or pause for the silence of all
+  // members: it would dissolve every group of the domain, and all would load
+  // again.
+  it("does not treat its own pause as the members' silence", () => {
     const domain = new Domain(14);
-    domain.pass(2);
+    domain.advance(2);
     domain.now += 60_000;
-    // All reports but one have come in again.
+    // All reports but one have arrived again.
     const reports = new Map(domain.reports);
     for (const { id } of domain.instances.slice(1)) {
       reports.set(id, { report: reportOf(id, "0"), seenAt: domain.now });
     }
     const others = new Map([...reports].slice(1));
-    for (const [watch, known] of [
-      [domain.watch, reports],
-      [new MemberMonitor(WATCH), others],
+    for (const [monitor, known] of [
+      [domain.monitor, reports],
+      [new MemberMonitor(MONITOR_POLICY), others],
     ] as const) {
-      watch.update(domain.instances, known, domain.now);
-      const view = { ...domain.view, watch, reports: known };
+      monitor.update(domain.instances, known, domain.now);
+      const view = { ...domain.view, monitor, reports: known };
       expect(planGroupChange(domain.record, WANTED, view, POLICY)).to.equal(
         null,
       );
     }
   });
 
-  // Two groups lose a member each and nothing is spare: without giving one of
-  // them up both would stay dark.
-  it("gives one incomplete group up to heal another", () => {
+  // Guards against two groups staying down that lack a member each while no
+  // instance is spare.
+  it("dissolves one incomplete group to heal another", () => {
     const domain = new Domain(12);
-    domain.pass(2);
+    domain.advance(2);
     domain.silent.add("engine-00").add("engine-05");
-    domain.pass(10);
+    domain.advance(10);
     expect(domain.record.groups).to.have.length(2);
     expect(domain.record.groups[0]).to.include({ generation: 2 });
   });
 
-  // An engine crashes every few seconds after its start. Each time it came
-  // back it would be given its old place, and the group would load again.
-  it("keeps a flapping member out for longer each time", () => {
+  // Guards against giving an engine that keeps crashing its old place each time
+  // it returns: its group would load again and again.
+  it("holds a flapping member out for longer each time", () => {
     const domain = new Domain(4);
-    domain.pass(2);
+    domain.advance(2);
     const generations = [];
     for (let flap = 1; flap <= 6; flap++) {
       domain.restarts.set("engine-02", flap);
-      domain.pass(5);
+      domain.advance(5);
       generations.push(domain.record.groups[0]?.generation);
     }
     expect(generations).to.deep.equal([2, 2, 2, 2, 2, 2]);
-    domain.pass(120);
+    domain.advance(120);
     expect(domain.record.groups[0]?.generation).to.equal(3);
   });
 
   it("loads no more engines at once than the weight store allows", () => {
     const domain = new Domain(12);
-    domain.pass(2);
+    domain.advance(2);
     const orders = planOrders(domain.record, domain.view, POLICY);
     expect(orders.map(({ instance }) => instance)).to.have.length(3);
   });
 
-  // A group's downtime is mostly the load of its new member. A spare that has
-  // loaded beforehand takes that away, but must not delay a group that waits.
-  it("lets spares load once no group waits for a load", () => {
+  // Guards against cold spares, since loading is most of a group's downtime,
+  // and against their loads delaying a group that waits for its own.
+  it("loads spares once no group waits for a load", () => {
     const domain = new Domain(14);
-    domain.pass(2);
+    domain.advance(2);
     const loads = () =>
       planOrders(domain.record, domain.view, POLICY)
         .filter(({ order }) => order.kind === OrderKind.Load)
--- a/src/common/groups/lease_machine.ts
+++ b/src/common/groups/lease_machine.ts
@@ -1,17 +1,17 @@
 /** The states of a domain lease and the events that move it between them. */
 import { createMachine } from "xstate";
 
-/** Where a daemon stands towards a domain's lease. */
+/** A daemon's state in relation to a domain's lease. */
 export enum LeaseState {
-  /** Another daemon holds it, or nobody does. */
+  /** Another daemon holds it, or none does. */
   Observing = "observing",
-  /** This daemon holds it and may give orders. */
+  /** This daemon holds it and may send orders. */
   Holding = "holding",
-  /** It was held; orders stop until a renewal has succeeded. */
+  /** Held before; no orders are sent until a renewal succeeds. */
   Suspended = "suspended",
 }
 
-/** What moves a lease from one state to another. */
+/** The events that change a lease's state. */
 export enum LeaseEvent {
   WriteSucceeded = "write_took",
   HolderChanged = "left_behind",
@@ -19,7 +19,7 @@
   Lapsed = "lapsed",
 }
 
-/** One daemon's stand towards one lease. */
+/** The state machine of one daemon and one lease. */
 export const LEASE_MACHINE = createMachine({
   id: "domain_lease",
   initial: LeaseState.Observing,
--- a/src/common/groups/member_monitor.ts
+++ b/src/common/groups/member_monitor.ts
@@ -1,15 +1,14 @@
 /**
- * How long each member has been silent, and which were lost of late.
+ * Tracks how long each member has been silent and which were lost recently.
  *
- * What goes wrong without it: a daemon that has just started, or was paused,
- * has no fresh report of anybody. Taking that for the members' silence, a new
- * holder would tear down every healthy group of its domain at its first look.
- * Silence therefore counts only from when this daemon began to watch without
- * a gap.
+ * A daemon that has just started or was paused has no fresh report of any
+ * member. If it took that for silence, a new holder would dissolve every
+ * healthy group of its domain on its first update. Silence therefore counts
+ * only from when this daemon began to run without a gap.
  *
- * A member that comes and goes must not tear its group down and up each time:
- * the first loss costs nothing, and each further one doubles the time for which
- * it is kept out of groups; the losses are forgotten by halves.
+ * A member that comes and goes must not make its group re-form each time: the
+ * first loss costs nothing, and each further one doubles the time for which it
+ * is held out of groups. The count of losses decays with a half-life.
  */
 import type {
   IInstance,
@@ -20,17 +19,17 @@
 import { PauseWatch } from "../pause_watch.ts";
 import { InstanceState, TargetState } from "../types.ts";
 
-/** Bounds on silence and on members that come and go, milliseconds. */
+/** Bounds on silence and on flapping members, milliseconds. */
 export interface IMemberMonitorPolicy {
-  /** A longer gap between two looks begins the watch anew. */
+  /** A longer gap between two updates restarts the measurement of silence. */
   readonly pauseBound: number;
   /** How long a member may be silent before it counts as lost. */
   readonly replaceAfter: number;
-  /** How long a member is kept out of groups after a second loss. */
+  /** How long a member is held out of groups after its second loss. */
   readonly holdAfterLoss: number;
   /** Longest hold, however often it was lost. */
   readonly longestHold: number;
-  /** Time in which half of the past losses are forgotten. */
+  /** Half-life of the count of past losses. */
   readonly forgetHalf: number;
 }
 
@@ -39,11 +38,11 @@
   readonly at: MonotonicTime;
 }
 
-/** One daemon's watch over the instances of one domain. */
+/** Monitors the instances of one domain in one daemon. */
 export class MemberMonitor {
   readonly #policy: IMemberMonitorPolicy;
   readonly #losses = new Map<InstanceId, ILossHistory>();
-  readonly #present = new Map<InstanceId, string>();
+  readonly #incarnations = new Map<InstanceId, string>();
   readonly #pauses: PauseWatch;
   #reports: ReadonlyMap<InstanceId, ISeenReport> = new Map();
   #instances: ReadonlyMap<InstanceId, IInstance> = new Map();
@@ -53,7 +52,7 @@
     this.#pauses = new PauseWatch(policy.pauseBound);
   }
 
-  /** Takes in what is known now; called at every tick. */
+  /** Updates the known state. Call it at every tick. */
   update(
     instances: readonly IInstance[],
     reports: ReadonlyMap<InstanceId, ISeenReport>,
@@ -63,17 +62,23 @@
     this.#reports = reports;
     this.#instances = new Map(instances.map((entry) => [entry.id, entry]));
     for (const { id } of instances) {
-      this.#noteLoss(id, now);
+      this.#recordLoss(id, now);
     }
   }
 
-  /** Milliseconds since the instance last answered, as far as watched. */
+  /**
+   * Milliseconds without an answer of the instance since this daemon last
+   * paused.
+   */
   silence(id: InstanceId, now: MonotonicTime): number {
     const seenAt = this.#reports.get(id)?.seenAt ?? Number.NEGATIVE_INFINITY;
     return now - Math.max(seenAt, this.#pauses.runningSince(now));
   }
 
-  /** Silent for too long, off the list, or leaving. */
+  /**
+   * Whether it has been silent for too long, is not listed as live, or is
+   * leaving.
+   */
   isLost(id: InstanceId, now: MonotonicTime): boolean {
     const state = this.#reports.get(id)?.report.state;
     return (
@@ -83,12 +88,12 @@
     );
   }
 
-  /** Whether a past loss still keeps the instance out of new groups. */
+  /** Whether past losses still hold the instance out of new groups. */
   isHeldOut(id: InstanceId, now: MonotonicTime): boolean {
     return now < this.heldOutUntil(id);
   }
 
-  /** When the instance may be taken into a group again. */
+  /** When the instance may join a group again. */
   heldOutUntil(id: InstanceId): MonotonicTime {
     const losses = this.#losses.get(id);
     if (losses === undefined) {
@@ -99,22 +104,25 @@
     return losses.at + Math.min(hold, longestHold);
   }
 
-  #noteLoss(id: InstanceId, now: MonotonicTime): void {
+  #recordLoss(id: InstanceId, now: MonotonicTime): void {
     const report = this.#reports.get(id)?.report;
-    const before = this.#present.get(id);
+    const before = this.#incarnations.get(id);
     const isLost = this.isLost(id, now);
     const isRestarted = before !== undefined && before !== report?.incarnation;
     if (before !== undefined && (isLost || isRestarted)) {
-      this.#losses.set(id, { count: this.#remembered(id, now) + 1, at: now });
-      this.#present.delete(id);
+      this.#losses.set(id, {
+        count: this.#decayedLossCount(id, now) + 1,
+        at: now,
+      });
+      this.#incarnations.delete(id);
     }
     if (!isLost && report !== undefined) {
-      this.#present.set(id, report.incarnation);
+      this.#incarnations.set(id, report.incarnation);
     }
   }
 
-  /** Past losses, worn off by half in each period of forgetting. */
-  #remembered(id: InstanceId, now: MonotonicTime): number {
+  /** The count of past losses after decay. */
+  #decayedLossCount(id: InstanceId, now: MonotonicTime): number {
     const losses = this.#losses.get(id);
     if (losses === undefined) {
       return 0;
--- a/src/common/groups/orders.ts
+++ b/src/common/groups/orders.ts
@@ -1,11 +1,10 @@
 /**
- * Orders that bring what engines report in line with the record.
+ * Plans the orders that bring engines in line with the record.
  *
- * The weight store is rate-limited: were a domain's engines all told to load
- * at once after it went dark, each load would take its share of the rate and
- * no group would serve until the last was done. Loads are therefore queued:
- * first the services that have no complete group, then the groups that lack
- * the fewest loads.
+ * The weight store is rate-limited: if all engines of a domain loaded at once
+ * after an outage, each load would get a share of the rate and no group would
+ * serve until the last load was done. Loads are therefore queued: services
+ * without a complete group first, then groups that need the fewest loads.
  */
 import { OrderKind } from "../services/services.ts";
 import type { IEngineOrder } from "../services/services.ts";
@@ -15,7 +14,7 @@
 import { isComplete } from "./presence.ts";
 import type { IDomainRecord, IReplicaGroup } from "./types.ts";
 
-/** An order and the instance it goes to. */
+/** An order and the instance to send it to. */
 export interface IAddressedOrder {
   readonly instance: InstanceId;
   readonly address: string;
@@ -23,8 +22,8 @@
 }
 
 /**
- * Whether engines report a group or generation that the record does not know
- * yet. A daemon that reads the record seldom learns of a change by this.
+ * Whether engines report a group or generation newer than the record. A daemon
+ * that reads the record seldom detects a change by this.
  */
 export function isRecordStale(
   record: IDomainRecord,
@@ -47,7 +46,7 @@
   readonly addresses: ReadonlyMap<InstanceId, string>;
 }
 
-/** Orders due now; the same orders come again until reports follow them. */
+/** The orders due now; each is repeated until the reports follow it. */
 export function planOrders(
   record: IDomainRecord,
   view: IFormationView,
@@ -60,11 +59,13 @@
   return [...planReleases(context), ...planLoads(context)];
 }
 
-/** Joins, and with what is left of the weight store's rate spares' loads. */
+/**
+ * Join orders, then load orders for spares within the remaining load budget.
+ */
 function planLoads(context: IOrderContext): readonly IAddressedOrder[] {
   let budget = context.policy.concurrentLoads - countLoading(context);
   const orders: IAddressedOrder[] = [];
-  for (const group of inOrderOfUrgency(context)) {
+  for (const group of byUrgency(context)) {
     for (const member of missingMembers(group, context)) {
       const isLoad = needsLoad(member, group, context);
       if (isLoad && budget <= 0) {
@@ -78,13 +79,14 @@
 }
 
 /**
- * Spares load the weights that most groups need before they are needed: the
- * load is by far the longest part of a group's downtime.
+ * Load orders for spares: they load the weights that most groups use before
+ * they are needed, since the load is by far the longest part of a group's
+ * downtime.
  */
 function planSpareLoads(context: IOrderContext): readonly IAddressedOrder[] {
   const { record, view, policy, addresses } = context;
-  const model = commonestModel(record);
-  const taken = new Set(record.groups.flatMap((group) => group.members));
+  const model = mostCommonModel(record);
+  const assigned = new Set(record.groups.flatMap((group) => group.members));
   const orders: IAddressedOrder[] = [];
   for (const [instance, address] of addresses) {
     const report = view.reports.get(instance)?.report;
@@ -92,10 +94,10 @@
       report?.state === TargetState.Free &&
       report.membership === null &&
       report.model !== model;
-    if (model === "" || taken.has(instance) || !isCold) {
+    if (model === "" || assigned.has(instance) || !isCold) {
       continue;
     }
-    if (!isOrdered(instance, view)) {
+    if (!hasUnreportedOrder(instance, view)) {
       const order: IEngineOrder = {
         ...{ kind: OrderKind.Load, group: "", rank: 0, generation: 0 },
         ...{ model, members: [], epoch: record.epoch },
@@ -107,8 +109,8 @@
   return orders;
 }
 
-/** The model of most groups; empty when there is no group. */
-function commonestModel(record: IDomainRecord): string {
+/** The model of most groups; empty when there are none. */
+function mostCommonModel(record: IDomainRecord): string {
   const counts = new Map<string, number>();
   for (const { model } of record.groups) {
     counts.set(model, (counts.get(model) ?? 0) + 1);
@@ -117,8 +119,11 @@
   return ordered[0]?.[0] ?? "";
 }
 
-/** Groups of dark services first, then by loads still to be done. */
-function inOrderOfUrgency(context: IOrderContext): readonly IReplicaGroup[] {
+/**
+ * Groups of services without a complete group first, then by the loads still
+ * needed.
+ */
+function byUrgency(context: IOrderContext): readonly IReplicaGroup[] {
   const { record, view, policy } = context;
   const instances = new Map(view.instances.map((entry) => [entry.id, entry]));
   const { freshness } = policy;
@@ -150,9 +155,9 @@
     const isMember =
       report?.membership?.group === group.id &&
       report.membership.generation === group.generation;
-    // A restarted engine is another one: it waits for its own generation.
+    // A restarted engine must wait for the group's next generation.
     const isSame = report?.incarnation === group.incarnations[rank];
-    return isSame && !isMember && !isOrdered(member, view);
+    return isSame && !isMember && !hasUnreportedOrder(member, view);
   });
 }
 
@@ -167,15 +172,15 @@
 function countLoading({ view }: IOrderContext): number {
   return view.instances.filter(({ id }) => {
     const state = view.reports.get(id)?.report.state;
-    return state === TargetState.Loading || isOrdered(id, view);
+    return state === TargetState.Loading || hasUnreportedOrder(id, view);
   }).length;
 }
 
 /**
- * Whether the last report was asked for before the last order was through: it
- * tells nothing of what the order did, so nothing is ordered by it.
+ * Whether the last report was requested before the last order completed. It
+ * does not show that order's effect, so no order is based on it.
  */
-function isOrdered(id: InstanceId, view: IFormationView): boolean {
+function hasUnreportedOrder(id: InstanceId, view: IFormationView): boolean {
   const orderedAt = view.orderedAt.get(id) ?? Number.NEGATIVE_INFINITY;
   const seenAt = view.reports.get(id)?.seenAt ?? Number.NEGATIVE_INFINITY;
   return seenAt < orderedAt;
@@ -205,14 +210,21 @@
   return [{ instance, address, order }];
 }
 
-/** Engines that report a group the record does not give them. */
+/**
+ * Release orders for engines that report a group not assigned to them by the
+ * record.
+ */
 function planReleases(context: IOrderContext): readonly IAddressedOrder[] {
   const { record, view, policy, addresses } = context;
-  const taken = new Set(record.groups.flatMap((group) => group.members));
+  const assigned = new Set(record.groups.flatMap((group) => group.members));
   const orders: IAddressedOrder[] = [];
   for (const [instance, address] of addresses) {
     const membership = view.reports.get(instance)?.report.membership;
-    if (!membership || taken.has(instance) || isOrdered(instance, view)) {
+    if (
+      !membership ||
+      assigned.has(instance) ||
+      hasUnreportedOrder(instance, view)
+    ) {
       continue;
     }
     const order: IEngineOrder = {
--- a/src/common/groups/pending_write.ts
+++ b/src/common/groups/pending_write.ts
@@ -1,55 +1,57 @@
 /**
  * A conditional write of a domain record that is not settled yet.
  *
- * What goes wrong without it: a write whose answer was lost may still be on
- * its way after a read has shown the old version. Were it forgotten then, it
- * could land later and put groups in force that the holder, ordering by what
- * it last read, knows nothing of. So a write in doubt is sent again with the
- * same content until a newer version has been seen: after that no earlier
- * write can take effect any more.
+ * A write whose answer was lost may still be in flight after a read has
+ * returned the old version. If it were forgotten then, it could land later and
+ * install groups that the holder, which sends orders by its last read, does not
+ * know. So a write in doubt is sent again with the same content until a newer
+ * version has been seen: after that no earlier write can take effect.
  */
 import type { MonotonicTime } from "../types.ts";
 import type { IDomainRecord } from "./types.ts";
 
-/** What is known of a write. */
+/** The known state of a write. */
 export enum WriteState {
-  /** Sent; the answer is awaited. */
+  /** Sent; waiting for the answer. */
   Sent = "sent",
-  /** An answer was lost: it may have taken effect, or still may. */
+  /** An answer was lost: it may have taken effect, or may still do so. */
   InDoubt = "in_doubt",
-  /** The record had moved on; what it is now must be read. */
+  /** The record's version had changed; the current one must be read. */
   Conflicted = "conflicted",
 }
 
-/** What a write carries. */
+/** The content of a write. */
 export interface IWriteContent {
   readonly record: IDomainRecord;
   /** Null creates the object. */
   readonly expectedVersion: number | null;
-  /** Whether the groups differ from those last seen. */
+  /** Whether it changes the groups or releases the lease. */
   readonly isChange: boolean;
 }
 
-/** One write from its first sending until it is settled. */
+/** One write from its first request until it is settled. */
 export class PendingWrite {
   readonly content: IWriteContent;
-  /** The first sending: whichever took effect, the lease counts from here. */
+  /**
+   * When it was first sent: whichever request took effect, the lease counts
+   * from here.
+   */
   readonly sentAt: MonotonicTime;
   #state = WriteState.Sent;
-  #wasLost = false;
-  #lastTry: MonotonicTime;
+  #wasInDoubt = false;
+  #lastAttempt: MonotonicTime;
 
   constructor(content: IWriteContent, now: MonotonicTime) {
     this.content = content;
     this.sentAt = now;
-    this.#lastTry = now;
+    this.#lastAttempt = now;
   }
 
   get state(): WriteState {
     return this.#state;
   }
 
-  /** Whether orders by the record last seen could be against the truth. */
+  /** Whether the stored groups may differ from those last seen. */
   get blocksOrders(): boolean {
     return this.content.isChange || this.#state === WriteState.Conflicted;
   }
@@ -58,9 +60,9 @@
     return this.content.record.attempt === attempt;
   }
 
-  /** An answer was lost. */
+  /** Records that an answer was lost. */
   markInDoubt(): void {
-    this.#wasLost = true;
+    this.#wasInDoubt = true;
     this.#state = WriteState.InDoubt;
   }
 
@@ -68,22 +70,25 @@
     this.#state = WriteState.Conflicted;
   }
 
-  /** This sending had no effect; says whether an earlier one still may. */
+  /**
+   * Records that the last request had no effect; returns whether an earlier one
+   * may still take effect.
+   */
   handleFailure(): boolean {
-    this.#state = this.#wasLost ? WriteState.InDoubt : this.#state;
-    return this.#wasLost;
+    this.#state = this.#wasInDoubt ? WriteState.InDoubt : this.#state;
+    return this.#wasInDoubt;
   }
 
-  /** Whether to try to settle it now; at most once in each period. */
+  /** Whether to try to settle it now; at most once per period. */
   isDue(now: MonotonicTime, period: number): boolean {
-    if (this.#state === WriteState.Sent || now - this.#lastTry < period) {
+    if (this.#state === WriteState.Sent || now - this.#lastAttempt < period) {
       return false;
     }
-    this.#lastTry = now;
+    this.#lastAttempt = now;
     return true;
   }
 
-  /** It is being sent again. */
+  /** Records that it is sent again. */
   markResent(): void {
     this.#state = WriteState.Sent;
   }
--- a/src/common/groups/presence.ts
+++ b/src/common/groups/presence.ts
@@ -1,7 +1,8 @@
 /**
- * Which replica groups may serve. A group serves only while every member has
- * reported, within a freshness bound, the same group and generation: a group
- * that has lost a member would accept work that it can never finish.
+ * Determines which replica groups may serve. A group serves only while every
+ * member has reported the same group and generation within the freshness bound:
+ * a group without one of its members would accept requests that it can never
+ * complete.
  */
 import type {
   IInstance,
@@ -12,23 +13,26 @@
 import { InstanceState, TargetState } from "../types.ts";
 import type { IReplicaGroup } from "./types.ts";
 
-/** What presence is judged by. */
+/** The state that presence depends on. */
 export interface IPresenceView {
   readonly instances: ReadonlyMap<InstanceId, IInstance>;
   readonly reports: ReadonlyMap<InstanceId, ISeenReport>;
   readonly now: MonotonicTime;
-  /** Oldest report that counts, milliseconds. */
+  /** Maximum age of a report, milliseconds. */
   readonly freshness: number;
-  /** Since when reports could be heard without a pause of this daemon. */
+  /** Since when this daemon has received reports without a pause. */
   readonly watchedSince: MonotonicTime;
 }
 
-/** Whether every member is present, ready and in this very generation. */
+/** Whether every member is present, ready and in exactly this generation. */
 export function isComplete(group: IReplicaGroup, view: IPresenceView): boolean {
   return group.members.every((_, rank) => isPresent(group, rank, view));
 }
 
-/** A report from before a pause of this daemon ages from the pause's end. */
+/**
+ * Whether a report is fresh. One from before a pause of this daemon ages from
+ * the end of the pause.
+ */
 export function isFresh(
   { seenAt }: ISeenReport,
   {
--- a/src/common/groups/presence_test.ts
+++ b/src/common/groups/presence_test.ts
@@ -1,4 +1,4 @@
-/** What counts as a present member, case by case. */
+/** Cases of reports that do and do not show a member as present. */
 import { expect } from "chai";
 import { InstanceState, ServiceKind, TargetState } from "../types.ts";
 import type { IInstance, ISeenReport, ITargetReport } from "../types.ts";
@@ -47,7 +47,7 @@
 const CASES: readonly ICase[] = [
   { title: "a fresh report of this generation", isPresent: true },
   { title: "an old report", isPresent: false, age: 501 },
-  // Guards against this daemon's pause taken for the silence of all members.
+  // Guards against taking this daemon's pause for the silence of all members.
   {
     title: "an old report just after a pause",
     isPresent: true,
@@ -77,12 +77,12 @@
     report: { state: TargetState.Loading },
   },
   {
-    title: "a member that leaves",
+    title: "a member that is leaving",
     isPresent: false,
     report: { state: TargetState.Leaving },
   },
   {
-    title: "a process started since",
+    title: "a process started since then",
     isPresent: false,
     report: { incarnation: "second" },
   },
--- a/src/common/groups/spare_count.ts
+++ b/src/common/groups/spare_count.ts
@@ -1,20 +1,20 @@
 /**
- * How many groups a domain's engines should form, the rest being warm spares.
+ * Chooses how many groups a domain's engines form, the rest being warm spares.
  *
- * It answers members that die while nobody watches: with a spare a group is
- * down for as long as noticing, writing and loading take; without one, until
- * the platform brings another instance. What goes wrong without it: a share
- * guessed once is either paid for every hour by idle accelerators, or missing
- * on the one night when an engine fails.
+ * Spares matter when members fail while nobody is watching: with a spare a
+ * group is down for as long as detection, the write and the load take; without
+ * one, until the platform provides another instance. A fixed share of spares
+ * either costs idle accelerators every hour, or is too small on the one night
+ * when an engine fails.
  *
- * The two deployments weigh both differently, so the count follows from their
- * two weights and from rates and times. The number of instances that are out
- * at a moment is taken as a Poisson variable: failures are rare and come from
- * many instances. A domain that goes dark whole is left out, since no spare of
- * the same domain helps against it.
+ * Deployments weigh both differently, so the count follows from their two
+ * weights and from rates and times. The number of instances that are out at a
+ * moment is modelled as a Poisson variable: failures are rare and spread over
+ * many instances. The failure of a whole domain is not modelled, since no spare
+ * of the same domain helps against it.
  */
 
-/** What one unit of each measure costs. */
+/** Cost of one unit of each measure. */
 export interface ISpareWeights {
   /** One group that cannot serve, for one unit of time. */
   readonly groupDowntime: number;
@@ -22,17 +22,17 @@
   readonly strandedAccelerators: number;
 }
 
-/** Rates and times; milliseconds. */
+/** Failure rates and recovery times, milliseconds. */
 export interface IFailureFigures {
   /** Mean time between two failures of the same instance. */
   readonly timeBetweenFailures: number;
-  /** From a failure until the platform has brought another instance. */
+  /** From a failure until the platform has provided another instance. */
   readonly returnTime: number;
   /** From a failure until a group with a spare serves again. */
   readonly healTime: number;
 }
 
-/** What a number of groups is expected to cost, in the mean over time. */
+/** Expected cost of a number of groups, averaged over time. */
 export interface ISpareCost {
   readonly groups: number;
   readonly spares: number;
@@ -43,10 +43,13 @@
   readonly cost: number;
 }
 
-/** Instances out at once beyond this share are left out: they never matter. */
+/** Probability below which further counts of failed instances are ignored. */
 const LEAST_PROBABILITY = 1e-9;
 
-/** The cheapest number of groups; at least one where it can be formed. */
+/**
+ * The number of groups with the least cost; at least one where one can be
+ * formed.
+ */
 export function chooseGroupCount(
   engines: number,
   members: number,
@@ -54,26 +57,26 @@
   figures: IFailureFigures,
 ): ISpareCost {
   const most = Math.floor(engines / members);
-  let best = costOf({ engines, members, groups: most }, weights, figures);
+  let best = expectedCost({ engines, members, groups: most }, weights, figures);
   for (let groups = most - 1; groups >= 1; groups--) {
-    const next = costOf({ engines, members, groups }, weights, figures);
+    const next = expectedCost({ engines, members, groups }, weights, figures);
     best = next.cost < best.cost ? next : best;
   }
   return best;
 }
 
-interface IShape {
+interface IGroupLayout {
   readonly engines: number;
   readonly members: number;
   readonly groups: number;
 }
 
-function costOf(
-  shape: IShape,
+function expectedCost(
+  layout: IGroupLayout,
   weights: ISpareWeights,
   figures: IFailureFigures,
 ): ISpareCost {
-  const { engines, members, groups } = shape;
+  const { engines, members, groups } = layout;
   const spares = engines - groups * members;
   const meanOut = (engines * figures.returnTime) / figures.timeBetweenFailures;
   const healing =
--- a/src/common/groups/spare_count_test.ts
+++ b/src/common/groups/spare_count_test.ts
@@ -1,4 +1,4 @@
-/** How many warm spares follow from the two weights. */
+/** The number of warm spares for the two weights. */
 import { expect } from "chai";
 import { chooseGroupCount } from "./spare_count.ts";
 
@@ -20,21 +20,21 @@
 
 const CASES: readonly ICase[] = [
   {
-    title: "an unattended night with downtime weighed high",
+    title: "an unattended night and a high weight of downtime",
     engines: 20,
     weights: [100, 1],
     groups: 4,
     spares: 4,
   },
   {
-    title: "every idle instance paid for",
+    title: "equal weights",
     engines: 20,
     weights: [1, 1],
     groups: 5,
     spares: 0,
   },
   {
-    title: "downtime weighed high but instances soon replaced",
+    title: "a high weight of downtime but instances replaced soon",
     engines: 20,
     weights: [100, 1],
     returnTime: HOUR / 4,
@@ -42,7 +42,7 @@
     spares: 0,
   },
   {
-    title: "engines that are left over anyway",
+    title: "an engine left over from complete groups",
     engines: 21,
     weights: [100, 1],
     groups: 5,
--- a/src/common/groups/types.ts
+++ b/src/common/groups/types.ts
@@ -1,4 +1,4 @@
-/** Replica groups and the lease on the record that holds them. */
+/** Replica groups, and the lease on the record that contains them. */
 import type {
   DaemonId,
   DomainName,
@@ -16,25 +16,25 @@
   readonly generation: number;
   /** The epoch of the lease under which this generation was formed. */
   readonly epoch: number;
-  /** In order of rank; the first takes requests. */
+  /** In order of rank; the first receives requests. */
   readonly members: readonly InstanceId[];
   /**
-   * The process run of each member when this generation was formed. A member
-   * restarted since then has lost its state and is no longer present.
+   * The incarnation of each member's process when this generation was formed. A
+   * member that has restarted since has lost its state and counts as absent.
    */
   readonly incarnations: readonly string[];
 }
 
-/** One object of the platform a fabric domain: its lease and its groups. */
+/** The platform object of one fabric domain: its lease and its groups. */
 export interface IDomainRecord {
   readonly domain: DomainName;
   /** Rises by one each time the lease changes hands. */
   readonly epoch: number;
-  /** Null once a holder has given the lease back. */
+  /** Null once a holder has released the lease. */
   readonly holder: DaemonId | null;
-  /** Names the write that made this content, to resolve a lost answer. */
+  /** Identifies the write that made this content, to resolve a lost answer. */
   readonly attempt: string;
-  /** The number of the next group, never used twice in this domain. */
+  /** The number of the next group; never reused in this domain. */
   readonly nextGroup: number;
   readonly groups: readonly IReplicaGroup[];
 }
@@ -47,19 +47,19 @@
 
 /** Durations of the lease, in milliseconds. */
 export interface ILeaseTiming {
-  /** How long a lease lasts from the moment its renewal was sent. */
+  /** Duration of a lease from the moment its renewal was sent. */
   readonly leaseTime: number;
-  /** How long observers wait beyond it before they take over. */
+  /** How long observers wait beyond the lease time before they take over. */
   readonly takeoverMargin: number;
-  /** How long before its end a holder stops giving orders. */
+  /** How long before its end a holder stops sending orders. */
   readonly safetyMargin: number;
-  /** How often a holder renews. */
+  /** How often a holder renews the lease. */
   readonly renewEvery: number;
   /** A longer gap between two ticks counts as a pause of the process. */
   readonly pauseBound: number;
 }
 
-/** What the lease asks its host to do. */
+/** What the lease asks its owner to do. */
 export type LeaseAction =
   | {
       readonly kind: LeaseActionKind.Write;
