--- a/src/common/decisions/adaptive_limit.ts
+++ b/src/common/decisions/adaptive_limit.ts
@@ -153,11 +153,11 @@
   #adapt(): void {
     if (this.#isLate()) {
       this.#isRamping = false;
-      const present = Math.min(this.#limit, this.#highestLoad);
-      this.#limit = Math.max(SMALLEST_LIMIT, present * FALL_FACTOR);
+      const base = Math.min(this.#limit, this.#highestLoad);
+      this.#limit = Math.max(SMALLEST_LIMIT, base * FALL_FACTOR);
     } else if (this.#highestLoad >= this.#limit * IN_USE_SHARE) {
-      const present = Math.max(this.#limit, this.#highestLoad);
-      const raised = present * (this.#isRamping ? RAMP_FACTOR : RISE_FACTOR);
+      const base = Math.max(this.#limit, this.#highestLoad);
+      const raised = base * (this.#isRamping ? RAMP_FACTOR : RISE_FACTOR);
       this.#limit = Math.min(LARGEST_LIMIT, raised);
     }
   }
--- a/src/common/decisions/fair_queue.ts
+++ b/src/common/decisions/fair_queue.ts
@@ -155,9 +155,9 @@
   }
 
   #queueOf(work: IWorkItem): IAccountQueue {
-    const found = this.#accounts.get(work.account);
-    if (found !== undefined) {
-      return found;
+    const known = this.#accounts.get(work.account);
+    if (known !== undefined) {
+      return known;
     }
     const queue: IAccountQueue = {
       account: work.account,
--- a/src/common/decisions/fair_queue_test.ts
+++ b/src/common/decisions/fair_queue_test.ts
@@ -32,11 +32,11 @@
       fc.property(sizes, sizes, (ones, others) => {
         const queue = new FairQueue();
         const given = new Map<string, number>();
-        for (const [account, asked] of [
+        for (const [account, sizesOfAccount] of [
           ["one", ones],
           ["other", others],
         ] as const) {
-          asked.forEach((askedTokens, index) =>
+          sizesOfAccount.forEach((askedTokens, index) =>
             queue.add(makeWork(index, { account, askedTokens })),
           );
         }
@@ -71,8 +71,8 @@
     for (let index = 1; index < MAXIMUM_WAITING; index++) {
       expect(queue.add(makeWork(index, { deadline: index }))).to.equal(null);
     }
-    const pushedOut = queue.add(makeWork(0, { account: "clinic" }));
-    expect(pushedOut?.id).to.equal(`request-${MAXIMUM_WAITING - 1}`);
+    const evicted = queue.add(makeWork(0, { account: "clinic" }));
+    expect(evicted?.id).to.equal(`request-${MAXIMUM_WAITING - 1}`);
     expect(queue.size).to.equal(MAXIMUM_WAITING);
   });
 
@@ -80,8 +80,8 @@
     const queue = new FairQueue();
     queue.add(makeWork(1, { askedTokens: 5_000, deadline: 100 }));
     queue.add(makeWork(2));
-    const room = { forShort: true, forLong: false };
-    expect(queue.take(room)?.id).to.equal("request-2");
-    expect(queue.take(room)).to.equal(null);
+    const shortOnly = { forShort: true, forLong: false };
+    expect(queue.take(shortOnly)?.id).to.equal("request-2");
+    expect(queue.take(shortOnly)).to.equal(null);
   });
 });
--- a/src/common/decisions/limit_share_test.ts
+++ b/src/common/decisions/limit_share_test.ts
@@ -32,7 +32,7 @@
   readonly messages: Message[] = [];
   now = 0;
 
-  play(step: IStep): void {
+  apply(step: IStep): void {
     const index = step.pick % Math.max(1, this.messages.length);
     switch (step.kind) {
       case "pass":
@@ -98,7 +98,7 @@
       fc.property(steps, (played) => {
         const network = new Network();
         for (const step of played) {
-          network.play(step);
+          network.apply(step);
           expect(network.usable).to.be.at.most(LIMIT + ROUNDING);
         }
       }),
--- a/src/common/decisions/prefix_affinity.ts
+++ b/src/common/decisions/prefix_affinity.ts
@@ -1,8 +1,8 @@
 /**
- * Records which targets this daemon recently sent a prefix to. It replaces the
- * engines' cache events, which arrive late and with gaps: a wrong entry costs
- * the time of a prefill, never correctness. Bounded, since prefixes are made by
- * callers.
+ * Records which targets this daemon recently sent a prefix to. It is used
+ * instead of the engines' cache events, which arrive late and with gaps. A
+ * wrong entry costs the time of a prefill, never correctness. Bounded, since
+ * prefixes are made by callers.
  */
 
 /** Prefixes remembered; each takes about 200 bytes. */
@@ -30,7 +30,7 @@
       return;
     }
     const before = this.#targets.get(prefix) ?? [];
-    const others = before.filter((holder) => holder !== target);
+    const others = before.filter((other) => other !== target);
     const targets = [target, ...others].slice(0, MAXIMUM_TARGETS);
     this.#targets.delete(prefix);
     this.#targets.set(prefix, targets);
--- a/src/common/decisions/spill_test.ts
+++ b/src/common/decisions/spill_test.ts
@@ -47,7 +47,7 @@
 
   it("skips zones that cannot serve or whose summary is old", () => {
     const counts = firstChoices([
-      zone("dark", { places: 0, running: 0 }),
+      zone("failed", { places: 0, running: 0 }),
       zone("silent", { places: 10, running: 0, age: 60_000 }),
       zone("full", { places: 1, running: 50 }),
     ]);
--- a/src/common/groups/domain_lease_test.ts
+++ b/src/common/groups/domain_lease_test.ts
@@ -64,7 +64,7 @@
     this.offset = name.charCodeAt(0) * 1_000;
   }
 
-  take(fault: Fault): number {
+  takeFault(fault: Fault): number {
     const amount = this.faults.get(fault) ?? 0;
     this.faults.delete(fault);
     return amount;
@@ -85,7 +85,7 @@
     return this.#history.at(-1) ?? null;
   }
 
-  play(steps: readonly IStep[]): void {
+  run(steps: readonly IStep[]): void {
     this.holders.forEach((holder, index) => this.#tickFrom(holder, index));
     let at = 0;
     for (const step of steps) {
@@ -102,7 +102,7 @@
   }
 
   /** Deletes the object, as an operator might. */
-  remove(): void {
+  deleteObject(): void {
     this.#history.push(null);
   }
 
@@ -166,9 +166,9 @@
       return;
     }
     holder.isReading = true;
-    const back = holder.take(Fault.StaleRead) % this.#history.length;
+    const back = holder.takeFault(Fault.StaleRead) % this.#history.length;
     const found = this.#history.at(-1 - back) ?? null;
-    const delay = 5 + holder.take(Fault.DelayAnswer);
+    const delay = 5 + holder.takeFault(Fault.DelayAnswer);
     this.#deliver(holder, delay, () => {
       holder.isReading = false;
       const now = this.#now + holder.offset;
@@ -179,13 +179,13 @@
   #write(holder: Holder, record: IDomainRecord, expected: number | null): void {
     const { lease } = holder;
     const { attempt } = record;
-    if (holder.take(Fault.NotApplied) > 0) {
+    if (holder.takeFault(Fault.NotApplied) > 0) {
       this.#deliver(holder, 5, () => lease.handleWriteFailed(attempt));
       return;
     }
-    const landing = 5 + holder.take(Fault.DelayWrite);
-    const isLost = holder.take(Fault.LoseAnswer) > 0;
-    const answer = 5 + holder.take(Fault.DelayAnswer);
+    const landing = 5 + holder.takeFault(Fault.DelayWrite);
+    const isLost = holder.takeFault(Fault.LoseAnswer) > 0;
+    const answer = 5 + holder.takeFault(Fault.DelayAnswer);
     const isTimeout = isLost || landing + answer > TIMING.renewEvery;
     if (isTimeout) {
       this.#deliver(holder, TIMING.renewEvery, () =>
@@ -277,7 +277,9 @@
       stored !== undefined &&
       (seen.nextGroup !== stored.nextGroup || seen.epoch !== stored.epoch);
     if (isOutdated) {
-      throw new Error(`orders not by the groups in force at ${this.#now}`);
+      throw new Error(
+        `orders do not follow the groups in force at ${this.#now}`,
+      );
     }
   }
 }
@@ -308,7 +310,7 @@
     fc.assert(
       fc.property(SCHEDULES, (schedule) => {
         const world = new World();
-        world.play(schedule);
+        world.run(schedule);
         world.settle();
         const { epoch, nextGroup } = onlyHolder(world).lastSeen?.record ?? {};
         expect(world.current?.record).to.include({ epoch, nextGroup });
@@ -321,10 +323,10 @@
   // the domain's object: engines would refuse every order.
   it("continues with a higher epoch after its object was deleted", () => {
     const world = new World();
-    world.play([]);
+    world.run([]);
     world.settle();
     const before = onlyHolder(world).lastSeen?.record.epoch ?? 0;
-    world.remove();
+    world.deleteObject();
     world.settle();
     const after = onlyHolder(world).lastSeen?.record.epoch;
     expect(after).to.be.greaterThan(before);
--- a/src/common/groups/lease_machine.ts
+++ b/src/common/groups/lease_machine.ts
@@ -14,6 +14,7 @@
 /** The events that change a lease's state. */
 export enum LeaseEvent {
   WriteSucceeded = "write_took",
+  /** Another daemon holds the lease now, or may take it. */
   HolderChanged = "left_behind",
   Paused = "paused",
   Lapsed = "lapsed",
--- a/src/common/groups/member_monitor.ts
+++ b/src/common/groups/member_monitor.ts
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Milliseconds without an answer of the instance since this daemon last
-   * paused.
+   * Milliseconds since the instance last answered, or since this daemon's last
+   * pause if that was later.
    */
   silence(id: InstanceId, now: MonotonicTime): number {
     const seenAt = this.#reports.get(id)?.seenAt ?? Number.NEGATIVE_INFINITY;
