--- a/src/common/groups/domain_lease_test.ts
+++ b/src/common/groups/domain_lease_test.ts
@@ -37,7 +37,7 @@
   GiveBack = "give_back",
 }
 
-/** A fault of one holder, coming about after a wait. */
+/** A fault of one holder, after a wait. */
 interface IStep {
   readonly wait: number;
   readonly holder: number;
@@ -50,7 +50,7 @@
   readonly run: () => void;
 }
 
-/** One holder process with the faults that wait for its next call. */
+/** A holder process and the faults to apply to its next calls. */
 class Holder {
   readonly lease: DomainLease;
   readonly offset: number;
@@ -64,14 +64,14 @@
     this.offset = name.charCodeAt(0) * 1_000;
   }
 
-  take(fault: Fault): number {
+  takeFault(fault: Fault): number {
     const amount = this.faults.get(fault) ?? 0;
     this.faults.delete(fault);
     return amount;
   }
 }
 
-/** Plays one schedule and checks after every event. */
+/** Runs one schedule and checks the invariants at every event. */
 class World {
   readonly holders = ["a", "b", "c"].map((name) => new Holder(name));
   #now = 0;
@@ -85,7 +85,7 @@
     return this.#history.at(-1) ?? null;
   }
 
-  play(steps: readonly IStep[]): void {
+  run(steps: readonly IStep[]): void {
     this.holders.forEach((holder, index) => this.#tickFrom(holder, index));
     let at = 0;
     for (const step of steps) {
@@ -95,14 +95,14 @@
     this.#runUntil(at);
   }
 
-  /** Lets everything settle without further faults. */
-  calm(): void {
+  /** Runs without further faults until everything settles. */
+  settle(): void {
     this.holders.forEach((holder) => holder.faults.clear());
     this.#runUntil(this.#now + 5_000);
   }
 
-  /** An operator deletes the object by hand. */
-  remove(): void {
+  /** Deletes the object, as an operator might. */
+  deleteObject(): void {
     this.#history.push(null);
   }
 
@@ -166,9 +166,9 @@
       return;
     }
     holder.isReading = true;
-    const back = holder.take(Fault.StaleRead) % this.#history.length;
+    const back = holder.takeFault(Fault.StaleRead) % this.#history.length;
     const found = this.#history.at(-1 - back) ?? null;
-    const delay = 5 + holder.take(Fault.DelayAnswer);
+    const delay = 5 + holder.takeFault(Fault.DelayAnswer);
     this.#deliver(holder, delay, () => {
       holder.isReading = false;
       const now = this.#now + holder.offset;
@@ -179,13 +179,13 @@
   #write(holder: Holder, record: IDomainRecord, expected: number | null): void {
     const { lease } = holder;
     const { attempt } = record;
-    if (holder.take(Fault.NotApplied) > 0) {
+    if (holder.takeFault(Fault.NotApplied) > 0) {
       this.#deliver(holder, 5, () => lease.handleWriteFailed(attempt));
       return;
     }
-    const landing = 5 + holder.take(Fault.DelayWrite);
-    const isLost = holder.take(Fault.LoseAnswer) > 0;
-    const answer = 5 + holder.take(Fault.DelayAnswer);
+    const landing = 5 + holder.takeFault(Fault.DelayWrite);
+    const isLost = holder.takeFault(Fault.LoseAnswer) > 0;
+    const answer = 5 + holder.takeFault(Fault.DelayAnswer);
     const isTimeout = isLost || landing + answer > TIMING.renewEvery;
     if (isTimeout) {
       this.#deliver(holder, TIMING.renewEvery, () =>
@@ -212,11 +212,11 @@
       return null;
     }
     expect(record.epoch, "epochs only rise").to.be.at.least(this.#highestEpoch);
-    const isHandedOn =
+    const isNewHolder =
       record.holder !== null &&
       before !== null &&
       record.holder !== before.record.holder;
-    if (isHandedOn) {
+    if (isNewHolder) {
       expect(record.epoch, "a new holder has a new epoch").to.be.greaterThan(
         before.record.epoch,
       );
@@ -259,7 +259,10 @@
     }
   }
 
-  /** Plain comparisons: it runs at every event of thousands of schedules. */
+  /**
+   * Uses plain comparisons for speed: it runs at every event of thousands of
+   * schedules.
+   */
   #check(): void {
     const ordering = this.holders.filter(({ lease, offset }) =>
       lease.mayOrder(this.#now + offset),
@@ -268,13 +271,15 @@
       throw new Error(`${ordering.length} holders may order at ${this.#now}`);
     }
     const seen = ordering[0]?.lease.lastSeen?.record;
-    const truth = this.current?.record;
-    const isAside =
+    const stored = this.current?.record;
+    const isOutdated =
       seen !== undefined &&
-      truth !== undefined &&
-      (seen.nextGroup !== truth.nextGroup || seen.epoch !== truth.epoch);
-    if (isAside) {
-      throw new Error(`orders not by the groups in force at ${this.#now}`);
+      stored !== undefined &&
+      (seen.nextGroup !== stored.nextGroup || seen.epoch !== stored.epoch);
+    if (isOutdated) {
+      throw new Error(
+        `orders do not follow the groups in force at ${this.#now}`,
+      );
     }
   }
 }
@@ -291,7 +296,7 @@
   { minLength: 5, maxLength: 40 },
 );
 
-/** The one holder left when all is calm. */
+/** The only holder once everything has settled. */
 function onlyHolder(world: World): DomainLease {
   const holding = world.holders
     .map(({ lease }) => lease)
@@ -305,8 +310,8 @@
     fc.assert(
       fc.property(SCHEDULES, (schedule) => {
         const world = new World();
-        world.play(schedule);
-        world.calm();
+        world.run(schedule);
+        world.settle();
         const { epoch, nextGroup } = onlyHolder(world).lastSeen?.record ?? {};
         expect(world.current?.record).to.include({ epoch, nextGroup });
       }),
@@ -314,15 +319,15 @@
     );
   });
 
-  // An operator deletes the domain's object by hand. Were it begun anew at
-  // epoch one, engines would refuse every order for good.
-  it("goes on with a higher epoch after its object was removed", () => {
+  // Guards against starting again at epoch one after an operator has deleted
+  // the domain's object: engines would refuse every order.
+  it("continues with a higher epoch after its object was deleted", () => {
     const world = new World();
-    world.play([]);
-    world.calm();
+    world.run([]);
+    world.settle();
     const before = onlyHolder(world).lastSeen?.record.epoch ?? 0;
-    world.remove();
-    world.calm();
+    world.deleteObject();
+    world.settle();
     const after = onlyHolder(world).lastSeen?.record.epoch;
     expect(after).to.be.greaterThan(before);
   });
@@ -348,10 +353,10 @@
     return actions.filter(({ kind }) => kind === LeaseActionKind.Write);
   }
 
-  // The holder's process is killed and starts again at the same address. Its
-  // peers hear the new process there; waiting out the old lease would leave
-  // lost groups unhealed for two seconds more.
-  it("is taken over at once", () => {
+  // Guards against waiting out the lease of a killed holder whose restarted
+  // process answers at the same address: lost groups would stay unhealed for
+  // two seconds more.
+  it("is taken over immediately", () => {
     const lease = observer();
     expect(writes(lease.tick(100))).to.deep.equal([]);
     lease.handleHolderEnded("old");
@@ -360,8 +365,9 @@
     expect(write).to.have.nested.property("record.epoch", 5);
   });
 
-  // The news that a holder ended comes late, when another one has followed.
-  it("is left to a holder that followed", () => {
+  // Guards against taking over from the next holder when the end of the
+  // previous one is learned late.
+  it("is left to the next holder", () => {
     const lease = observer();
     const next = { ...record, epoch: 5, holder: "next", attempt: "next/1" };
     lease.observe({ version: 8, record: next }, 50);
