--- a/src/common/services/admission_service.ts
+++ b/src/common/services/admission_service.ts
@@ -1,7 +1,7 @@
 /**
- * Lets requests in by plan, deadline and room, and keeps the others waiting or
- * turns them away at once. The decisions are made by {@link AccountAdmission} and
- * {@link ServiceScheduler}; this turns their actions into answers.
+ * Admits requests by plan, deadline and free capacity, and queues or refuses
+ * the others. {@link AccountAdmission} and {@link ServiceScheduler} decide;
+ * this class carries their decisions out.
  */
 import { AccountAdmission } from "../decisions/account_admission.ts";
 import { ScheduleActionKind } from "../decisions/service_scheduler.ts";
@@ -15,13 +15,13 @@
 import type { ICallerRequest } from "./types.ts";
 import { workOf } from "./work_of.ts";
 
-/** How often waiting work is looked at, milliseconds. */
-const TICK = 50;
+/** How often waiting requests are reconsidered, milliseconds. */
+const ADVANCE_INTERVAL = 50;
 
-/** When to come back if no target can serve, milliseconds. */
+/** Retry delay given to a caller while no target can serve, milliseconds. */
 const NO_REPLICA_RETRY_AFTER = 2_000;
 
-/** What the service works with. */
+/** Dependencies of {@link AdmissionService}. */
 export interface IAdmissionParts {
   readonly groups: GroupDirectory;
   readonly clock: IClock;
@@ -30,52 +30,58 @@
   readonly isServedElsewhere: (service: ServiceName) => boolean;
 }
 
-/** A request that was let in. */
+/** The admission of one request, held until its final answer. */
 export interface IAdmission {
   /**
-   * It has had its final answer; calling it again does nothing.
+   * Releases the admission after the final answer; further calls do nothing.
    *
-   * @param tokens Tokens of a whole answer; null if there is none.
+   * @param tokens Tokens of a complete answer; null if there is none.
    */
   finish(tokens: number | null): void;
 }
 
-/** Decides which requests run, which wait and which are turned away. */
+/** Decides which requests run, which wait and which are refused. */
 export class AdmissionService {
   readonly #parts: IAdmissionParts;
-  readonly #uses = new Map<AccountName, AccountAdmission>();
+  readonly #accounts = new Map<AccountName, AccountAdmission>();
   readonly #waiting = new Map<IWorkItem, (refusal: IRefusal | null) => void>();
-  readonly #ticking = new Set<ServiceName>();
+  readonly #scheduled = new Set<ServiceName>();
 
   constructor(parts: IAdmissionParts) {
     this.#parts = parts;
   }
 
-  /** Resolves when the request may run, or with the final word. */
+  /** Resolves when the request may run, or with a refusal. */
   async admit(request: ICallerRequest): Promise<IAdmission | IRefusal> {
     const work = workOf(request);
     const asked = work.isCall ? 0 : work.askedTokens;
     const { plan } = request.account;
-    const use = this.#useOf(work.account);
-    const refused = use.admit(plan, asked, this.#parts.clock.now());
-    if (refused !== null) {
-      const detail = `plan ${plan.name} is used up`;
-      return this.#count(notRun(refused.reason, detail, refused.retryAfter));
+    const accountAdmission = this.#accountOf(work.account);
+    const planRefusal = accountAdmission.admit(
+      plan,
+      asked,
+      this.#parts.clock.now(),
+    );
+    if (planRefusal !== null) {
+      const detail = `the limits of plan ${plan.name} are reached`;
+      return this.#countRefusal(
+        notRun(planRefusal.reason, detail, planRefusal.retryAfter),
+      );
     }
-    const admitted = await this.#enterZone(request, work);
+    const admitted = await this.#admitInZone(request, work);
     if ("outcome" in admitted) {
-      use.finish(asked, 0);
+      accountAdmission.finish(asked, 0);
       return admitted;
     }
-    return once((tokens) => {
-      use.finish(asked, Math.min(asked, tokens ?? 0));
+    return createAdmission((tokens) => {
+      accountAdmission.finish(asked, Math.min(asked, tokens ?? 0));
       admitted.finish(tokens);
     });
   }
 
   /**
-   * Resolves when a request handed over by another zone may run here, or with
-   * the final word. Its plan was looked at where the caller asked.
+   * Resolves when a request forwarded by another zone may run here, or with a
+   * refusal. The zone that received the request has checked its plan.
    */
   async admitForwarded(
     request: ICallerRequest,
@@ -83,12 +89,12 @@
     const work = workOf(request);
     const refusal = await this.#wait(request, work);
     return refusal === null
-      ? once((tokens) => this.#leave(request, work, tokens))
-      : this.#count(refusal);
+      ? createAdmission((tokens) => this.#release(request, work, tokens))
+      : this.#countRefusal(refusal);
   }
 
-  /** Work that only another zone can do does not wait for room in this one. */
-  async #enterZone(
+  /** A request that only another zone can serve does not queue in this one. */
+  async #admitInZone(
     request: ICallerRequest,
     work: IWorkItem,
   ): Promise<IAdmission | IRefusal> {
@@ -99,11 +105,11 @@
     }
     const refusal = await this.#wait(request, work);
     return refusal === null
-      ? { finish: (tokens) => this.#leave(request, work, tokens) }
-      : this.#count(refusal);
+      ? { finish: (tokens) => this.#release(request, work, tokens) }
+      : this.#countRefusal(refusal);
   }
 
-  /** Resolves with null when there is room for the work. */
+  /** Resolves with null once the scheduler starts the work. */
   #wait(request: ICallerRequest, work: IWorkItem): Promise<IRefusal | null> {
     const { clock, groups } = this.#parts;
     const { name } = request.service;
@@ -114,22 +120,25 @@
     }
     return new Promise((resolve) => {
       const scheduler = groups.schedulerOf(name);
-      const leave = () => {
+      const cancel = () => {
         if (scheduler.cancel(work)) {
-          this.#settle(work, notRun(Reason.CallerLeft, "the caller is gone"));
+          this.#resolveWaiting(
+            work,
+            notRun(Reason.CallerLeft, "the caller disconnected"),
+          );
         }
       };
       this.#waiting.set(work, (refusal) => {
-        request.signal.removeEventListener("abort", leave);
+        request.signal.removeEventListener("abort", cancel);
         resolve(refusal);
       });
-      request.signal.addEventListener("abort", leave);
+      request.signal.addEventListener("abort", cancel);
       this.#apply(scheduler.submit(work, clock.now()));
-      this.#tick(name);
+      this.#scheduleAdvance(name);
     });
   }
 
-  #leave(
+  #release(
     request: ICallerRequest,
     work: IWorkItem,
     tokens: number | null,
@@ -142,51 +151,52 @@
   #apply(actions: readonly ScheduleAction[]): void {
     for (const action of actions) {
       if (action.kind === ScheduleActionKind.Start) {
-        this.#settle(action.work, null);
+        this.#resolveWaiting(action.work, null);
       } else {
         const { reason, retryAfter } = action;
-        const detail = "it could not be answered in time";
-        this.#settle(action.work, notRun(reason, detail, retryAfter));
+        const detail = "the request could not be answered in time";
+        this.#resolveWaiting(action.work, notRun(reason, detail, retryAfter));
       }
     }
   }
 
-  #settle(work: IWorkItem, refusal: IRefusal | null): void {
+  #resolveWaiting(work: IWorkItem, refusal: IRefusal | null): void {
     this.#waiting.get(work)?.(refusal);
     this.#waiting.delete(work);
   }
 
-  /** Looks at the service again and again while some of its work waits. */
-  #tick(service: ServiceName): void {
+  /** Advances the service's scheduler periodically while work is waiting. */
+  #scheduleAdvance(service: ServiceName): void {
     const { clock, groups, metrics } = this.#parts;
     const scheduler = groups.schedulerOf(service);
     metrics.gauge("waiting", scheduler.queueSize, { service });
-    if (scheduler.queueSize === 0 || this.#ticking.has(service)) {
+    if (scheduler.queueSize === 0 || this.#scheduled.has(service)) {
       return;
     }
-    this.#ticking.add(service);
-    clock.after(TICK, () => {
-      this.#ticking.delete(service);
+    this.#scheduled.add(service);
+    clock.after(ADVANCE_INTERVAL, () => {
+      this.#scheduled.delete(service);
       groups.refresh(service);
       this.#apply(scheduler.advance(clock.now()));
-      this.#tick(service);
+      this.#scheduleAdvance(service);
     });
   }
 
-  #count(refusal: IRefusal): IRefusal {
+  #countRefusal(refusal: IRefusal): IRefusal {
     this.#parts.metrics.count("refusals", { reason: refusal.reason });
     return refusal;
   }
 
-  #useOf(account: AccountName): AccountAdmission {
-    const use = this.#uses.get(account) ?? new AccountAdmission();
-    this.#uses.set(account, use);
-    return use;
+  #accountOf(account: AccountName): AccountAdmission {
+    const accountAdmission =
+      this.#accounts.get(account) ?? new AccountAdmission();
+    this.#accounts.set(account, accountAdmission);
+    return accountAdmission;
   }
 }
 
-/** An admission whose end counts only the first time. */
-function once(end: (tokens: number | null) => void): IAdmission {
+/** Creates an admission that calls `end` at most once. */
+function createAdmission(end: (tokens: number | null) => void): IAdmission {
   let isFinished = false;
   const finish = (tokens: number | null) => {
     if (!isFinished) {
--- a/src/common/services/at_most_once_runner.ts
+++ b/src/common/services/at_most_once_runner.ts
@@ -1,4 +1,4 @@
-/** Runs calls that may not be repeated: at most once for each key. */
+/** Runs non-repeatable calls at most once for each idempotency key. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { RunState } from "../runs/run_record.ts";
@@ -10,31 +10,31 @@
 import type { IClock, ITargets } from "./services.ts";
 import type { IBufferedAnswer, ICallerRequest } from "./types.ts";
 
-/** Targets tried for one call; a further one only if none has acted. */
-const MAXIMUM_TRIES = 3;
+/** Targets tried for one call; the next only if none before it has acted. */
+const MAXIMUM_ATTEMPTS = 3;
 
-/** When to come back if no target can serve, milliseconds. */
+/** Retry delay given to a caller while no target can serve, milliseconds. */
 const NO_TARGET_RETRY_AFTER = 2_000;
 
-/** When to ask again for a run that has outlived its deadline. */
-const LATE_RETRY_AFTER = 2_000;
+/** Retry delay for a run that is past its deadline, milliseconds. */
+const STILL_RUNNING_RETRY_AFTER = 2_000;
 
 /**
- * How long a target is listened to beyond the caller's deadline, milliseconds.
- * The target acts whether or not anyone listens; its late answer is recorded
- * for the caller's next try with the same key.
+ * How long a target's answer is awaited after the caller's deadline,
+ * milliseconds. The target acts in any case; its late answer is recorded for
+ * the caller's next request with the same key.
  */
-const LISTENING_GRACE = 30_000;
+const RESPONSE_GRACE = 30_000;
 
 /**
- * How much longer an open record counts as being worked on: the writes that
- * finish it, each bounded by seconds, and calendar clocks that differ.
+ * How much longer an open record counts as in progress, milliseconds: covers
+ * the writes that finish it, each bounded by seconds, and clock skew.
  */
-const OPEN_GRACE = 30_000;
+const OPEN_RECORD_GRACE = 30_000;
 
 type RunResult = Result<IBufferedAnswer, IRefusal>;
 
-/** What a run that may not be repeated needs. */
+/** Dependencies of {@link AtMostOnceRunner}. */
 export interface IAtMostOnceParts {
   readonly groups: GroupDirectory;
   readonly targets: ITargets;
@@ -43,9 +43,9 @@
 }
 
 /**
- * Runs a call once its record stands. From then on the caller has no say: if
- * its leaving cancelled the call, the target might act and its answer be lost,
- * and the caller's next try would be told "unknown" for nothing.
+ * Runs a call after writing its record. From then on, a caller that disconnects
+ * does not cancel the call: the target might act and its answer be lost, and
+ * the caller's retry would be told "unknown" needlessly.
  */
 export class AtMostOnceRunner {
   readonly #parts: IAtMostOnceParts;
@@ -55,16 +55,16 @@
     this.#parts = parts;
   }
 
-  /** The answer of the one run, or why there is none. */
+  /** Resolves with the answer of the only run, or with a refusal. */
   async run(request: ICallerRequest): Promise<RunResult> {
     if (request.key === null) {
       const detail = "this operation needs an Idempotency-Key header";
       return Err(notRun(Reason.KeyRequired, detail));
     }
-    if (this.#choose(request, new Set()) === null) {
+    if (this.#chooseTarget(request, new Set()) === null) {
       return Err(noTarget(request));
     }
-    const start = await this.#begin(request, request.key);
+    const start = await this.#beginRun(request, request.key);
     if (start.isErr()) {
       return Err(start.error);
     }
@@ -75,15 +75,15 @@
     const run = this.#execute(request, start.value.permit);
     this.#runs.add(run);
     void run.finally(() => this.#runs.delete(run));
-    return this.#untilDeadline(request, run);
+    return this.#waitUntilDeadline(request, run);
   }
 
-  /** Waits for runs whose callers have left or been answered already. */
+  /** Waits for runs whose callers have disconnected or were answered. */
   async drain(): Promise<void> {
     await Promise.allSettled(this.#runs);
   }
 
-  #begin(request: ICallerRequest, key: string) {
+  #beginRun(request: ICallerRequest, key: string) {
     const { clock, records } = this.#parts;
     const run = {
       account: request.account.customer.account,
@@ -91,12 +91,12 @@
       key,
     };
     const { bodyDigest, requestId } = request;
-    const left = Math.max(0, request.deadline - clock.now());
-    const openFor = left + LISTENING_GRACE + OPEN_GRACE;
+    const remaining = Math.max(0, request.deadline - clock.now());
+    const openFor = remaining + RESPONSE_GRACE + OPEN_RECORD_GRACE;
     return records.begin(run, { bodyDigest, requestId, openFor });
   }
 
-  /** Calls a target, and records how that ended before answering. */
+  /** Calls a target, and records the outcome before answering. */
   async #execute(
     request: ICallerRequest,
     permit: IRunPermit,
@@ -104,15 +104,15 @@
     const { clock, records } = this.#parts;
     const avoid = new Set<string>();
     let refusal = noTarget(request);
-    for (let tries = 0; tries < MAXIMUM_TRIES; tries++) {
-      const place = this.#choose(request, avoid);
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+      const target = this.#chooseTarget(request, avoid);
       if (clock.now() >= request.deadline) {
         refusal = notRun(Reason.DeadlinePassed, "no time was left to run it");
       }
-      if (place === null || clock.now() >= request.deadline) {
+      if (target === null || clock.now() >= request.deadline) {
         break;
       }
-      const answer = await this.#call(request, place);
+      const answer = await this.#call(request, target);
       if (answer.isOk()) {
         await records.finish(permit, RunState.Completed, answer.value);
         return Ok({ body: answer.value });
@@ -122,7 +122,7 @@
         await records.finish(permit, RunState.Unknown, null);
         return Err(outcomeUnknown(Reason.TargetLost, detail));
       }
-      avoid.add(place.id);
+      avoid.add(target.id);
       refusal = notRun(Reason.TargetRefused, detail, NO_TARGET_RETRY_AFTER);
     }
     await records.finish(permit, RunState.NotRun, null);
@@ -131,12 +131,12 @@
 
   async #call(
     request: ICallerRequest,
-    place: IChosenTarget,
+    target: IChosenTarget,
   ): Promise<Result<unknown, ICallFailure>> {
     const { clock, groups, targets } = this.#parts;
-    const end = groups.beginRequest(place);
+    const end = groups.beginRequest(target);
     const { requestId, operation, body } = request;
-    const timeout = request.deadline - clock.now() + LISTENING_GRACE;
+    const timeout = request.deadline - clock.now() + RESPONSE_GRACE;
     const call = {
       requestId,
       operation: operation.name,
@@ -145,37 +145,37 @@
       onNewConnection: true,
     };
     try {
-      const nobodyCancels = new AbortController().signal;
-      const answer = await targets.call(place.address, call, nobodyCancels);
-      groups.recordTokens(place, answer.isOk() ? 1 : 0);
+      const neverAborted = new AbortController().signal;
+      const answer = await targets.call(target.address, call, neverAborted);
+      groups.recordTokens(target, answer.isOk() ? 1 : 0);
       return answer;
     } finally {
       end();
     }
   }
 
-  /** The run's result, or at the deadline that it is still running. */
-  async #untilDeadline(
+  /** Resolves with the run's result, or with a refusal at the deadline. */
+  async #waitUntilDeadline(
     request: ICallerRequest,
     run: Promise<RunResult>,
   ): Promise<RunResult> {
     const { clock } = this.#parts;
     let cancel = () => {};
-    const late = new Promise<RunResult>((resolve) => {
-      const left = Math.max(0, request.deadline - clock.now());
-      const timer = clock.after(left, () => {
-        const detail = "still running at its deadline; ask again with its key";
-        const retryAfter = LATE_RETRY_AFTER;
+    const expired = new Promise<RunResult>((resolve) => {
+      const remaining = Math.max(0, request.deadline - clock.now());
+      const timer = clock.after(remaining, () => {
+        const detail = "still running at the deadline; retry with the same key";
+        const retryAfter = STILL_RUNNING_RETRY_AFTER;
         resolve(Err(outcomeUnknown(Reason.DeadlinePassed, detail, retryAfter)));
       });
       cancel = () => timer.dispose();
     });
-    const result = await Promise.race([run, late]);
+    const result = await Promise.race([run, expired]);
     cancel();
     return result;
   }
 
-  #choose(
+  #chooseTarget(
     request: ICallerRequest,
     avoid: ReadonlySet<string>,
   ): IChosenTarget | null {
@@ -183,7 +183,7 @@
   }
 }
 
-/** No target of the service can take the call. */
+/** Creates the refusal for a service without a usable target. */
 export function noTarget(request: ICallerRequest): IRefusal {
   const detail = `no target of ${request.service.name} in this zone`;
   return notRun(Reason.NoReplica, detail, NO_TARGET_RETRY_AFTER);
--- a/src/common/services/call_dispatcher.ts
+++ b/src/common/services/call_dispatcher.ts
@@ -1,4 +1,4 @@
-/** Admits callers' requests and sends each to the runner that answers it. */
+/** Admits callers' requests and passes each to the runner that executes it. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { AnswerKind, Reason, ServiceKind } from "../types.ts";
@@ -12,7 +12,7 @@
 import type { SpillingEngineRunner } from "./spilling_engine_runner.ts";
 import type { CallerAnswer, ICallerRequest } from "./types.ts";
 
-/** The one way from a checked request to its answer. */
+/** Entry point for checked requests: checks the plan, admits and executes. */
 export class CallDispatcher {
   readonly #admission: AdmissionService;
   readonly #engines: SpillingEngineRunner;
@@ -35,18 +35,18 @@
     this.#metrics = parts.metrics;
   }
 
-  /** Requests let in or waiting, and not yet finally answered. */
+  /** Requests admitted or waiting whose final answer is still outstanding. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** Answers a request, or says finally why not. */
+  /** Resolves with the answer, or with the final refusal. */
   async dispatch(
     request: ICallerRequest,
   ): Promise<Result<CallerAnswer, IRefusal>> {
     const { plan } = request.account;
     if (!plan.services.includes(request.service.name)) {
-      const detail = `plan ${plan.name} has no ${request.service.name}`;
+      const detail = `plan ${plan.name} does not include ${request.service.name}`;
       return Err(notRun(Reason.NotInPlan, detail));
     }
     this.#inFlight += 1;
@@ -83,7 +83,7 @@
     }
   }
 
-  /** Ends the accounting of a stream when its consumer is done with it. */
+  /** Releases the admission when the consumer ends or abandons the stream. */
   async *#stream(
     request: ICallerRequest,
     admitted: IAdmission,
--- a/src/common/services/collect_answer.ts
+++ b/src/common/services/collect_answer.ts
@@ -1,4 +1,4 @@
-/** Puts a stream of tokens together to a whole answer. */
+/** Collects a stream of tokens into a buffered answer. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { Reason } from "../types.ts";
@@ -7,7 +7,7 @@
 import { outcomeUnknown } from "./refusal.ts";
 import type { IBufferedAnswer } from "./types.ts";
 
-/** The whole answer, or why there is none; never a part of it. */
+/** Resolves with the complete answer or a refusal, never a partial answer. */
 export async function collectAnswer(
   batches: AsyncIterable<TokenBatch>,
 ): Promise<Result<IBufferedAnswer, IRefusal>> {
--- a/src/common/services/engine_runner.ts
+++ b/src/common/services/engine_runner.ts
@@ -1,4 +1,4 @@
-/** Runs requests on replica groups and sees that answers are whole. */
+/** Runs requests on replica groups and resumes interrupted answers. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { z } from "zod";
@@ -18,22 +18,24 @@
 } from "./services.ts";
 import type { ICallerRequest } from "./types.ts";
 
-/** When to come back if no replica group can serve, milliseconds. */
+/** Retry delay given to a caller while no group can serve, milliseconds. */
 const NO_REPLICA_RETRY_AFTER = 2_000;
 
 /**
- * How long a broken stream waits for a group to go on with, milliseconds: a
- * group that has lost a member serves again within seconds if there is a
- * spare, and the caller keeps what it has.
+ * How long an interrupted stream waits for a group to resume on, milliseconds.
+ * A group that lost a member serves again within seconds if there is a spare,
+ * and the caller keeps the tokens it has received.
  */
-const LONGEST_WAIT_FOR_GROUP = 10_000;
-const WAIT_STEP = 100;
+const GROUP_WAIT_TIMEOUT = 10_000;
+
+/** How often an interrupted stream looks for a group, milliseconds. */
+const GROUP_WAIT_INTERVAL = 100;
 
 /**
- * Wait after which groups that failed this request are asked again,
- * milliseconds: a refusal such as "a member is missing" may be over.
+ * Time after which groups that failed this request may be tried again,
+ * milliseconds: the cause, such as a missing member, may be gone.
  */
-const FORGIVE_AFTER = 1_000;
+const CLEAR_EXCLUDED_AFTER = 1_000;
 
 const DEFAULT_MAXIMUM_TOKENS = 256;
 const LARGEST_MAXIMUM_TOKENS = 32_768;
@@ -50,7 +52,7 @@
 
 type GenerateBody = z.infer<typeof generateSchema>;
 
-/** What the runner works with. */
+/** Dependencies of {@link EngineRunner}. */
 export interface IEngineRunnerParts {
   readonly groups: GroupDirectory;
   readonly retries: RetryService;
@@ -58,11 +60,11 @@
   readonly clock: IClock;
   readonly log: ILog;
   readonly metrics: IMetrics;
-  /** Whether another zone could go on with a service's broken streams. */
+  /** Whether another zone could resume a service's interrupted streams. */
   readonly isServedElsewhere: (service: ServiceName) => boolean;
 }
 
-/** Longest silences of an engine, milliseconds. */
+/** Longest waits for an engine's tokens, milliseconds. */
 export interface IEngineTimeouts {
   readonly firstToken: number;
   readonly nextToken: number;
@@ -71,18 +73,18 @@
 /** Runs a request for tokens on replica groups of this zone. */
 export class EngineRunner {
   readonly #parts: IEngineRunnerParts;
-  readonly #bounds: IEngineTimeouts;
+  readonly #timeouts: IEngineTimeouts;
 
-  constructor(parts: IEngineRunnerParts, bounds: IEngineTimeouts) {
+  constructor(parts: IEngineRunnerParts, timeouts: IEngineTimeouts) {
     this.#parts = parts;
-    this.#bounds = bounds;
+    this.#timeouts = timeouts;
   }
 
   /**
-   * Tokens in order without gaps. A stream that breaks goes on from the last
-   * position, on another group or on a new connection to the same; if that
-   * cannot be, it ends with an error so that the caller never takes a part for
-   * the whole.
+   * Yields tokens in order without gaps. An interrupted stream resumes from
+   * the last position, on another group or on a new connection to the same
+   * one. If that is impossible it ends with an error, so that the caller never
+   * mistakes a partial answer for a complete one.
    */
   async *stream(request: ICallerRequest): AsyncIterable<TokenBatch> {
     const body = generateSchema.safeParse(request.body);
@@ -93,73 +95,77 @@
     }
     const { groups, retries } = this.#parts;
     retries.recordFirstAttempt(request);
-    using effort = new StreamProgress(request, this.#parts.clock);
-    while (effort.mayAttempt && (await this.#mayGoOn(effort))) {
-      const place = await this.#choose(request, effort);
-      if (place === null) {
+    using progress = new StreamProgress(request, this.#parts.clock);
+    while (progress.mayAttempt && (await this.#mayAttempt(progress))) {
+      const target = await this.#chooseGroup(request, progress);
+      if (target === null) {
         break;
       }
-      for await (const batch of this.#attempt(body.data, { place, effort })) {
+      for await (const batch of this.#attempt(body.data, {
+        target,
+        progress,
+      })) {
         if (batch.isErr()) {
-          effort.recordFailure(place.id, batch.error);
-          this.#note(request, place, batch.error);
+          progress.recordFailure(target.id, batch.error);
+          this.#reportFailure(request, target, batch.error);
           break;
         }
-        effort.recordTokens(batch.value);
-        groups.recordTokens(place, batch.value.length);
+        progress.recordTokens(batch.value);
+        groups.recordTokens(target, batch.value.length);
         yield Ok(batch.value);
-        groups.recordReadResumed(place);
-        if (effort.isComplete) {
+        groups.recordReadResumed(target);
+        if (progress.isComplete) {
           return;
         }
       }
     }
-    yield Err(this.#giveUp(effort));
+    yield Err(this.#createRefusal(progress));
   }
 
   /**
-   * Whether to try. A second try is paid for from the retry budget; a stream
-   * already begun always goes on, since its caller would lose what it has.
+   * Whether to make another attempt. Retries draw on the retry budget, except
+   * for a stream that has started: its caller would lose what it has received.
    */
-  async #mayGoOn(effort: StreamProgress): Promise<boolean> {
-    const isFirst = effort.suspects.size === 0;
-    const isBegun = effort.position > 0;
+  async #mayAttempt(progress: StreamProgress): Promise<boolean> {
+    const isFirst = progress.suspects.size === 0;
+    const hasStarted = progress.position > 0;
     return (
       isFirst ||
-      isBegun ||
-      (await this.#parts.retries.waitForRetry(effort.request))
+      hasStarted ||
+      (await this.#parts.retries.waitForRetry(progress.request))
     );
   }
 
-  /** A group to go on with; a stream already begun waits for one a while. */
-  async #choose(
+  /** Chooses a group; a stream that has started waits for one if necessary. */
+  async #chooseGroup(
     request: ICallerRequest,
-    effort: StreamProgress,
+    progress: StreamProgress,
   ): Promise<IChosenTarget | null> {
     const { clock, groups } = this.#parts;
     const since = clock.now();
     for (;;) {
       const waited = clock.now() - since;
-      if (waited >= FORGIVE_AFTER) {
-        effort.clearExcluded();
+      if (waited >= CLEAR_EXCLUDED_AFTER) {
+        progress.clearExcluded();
       }
-      const place =
-        groups.chooseGroup(request, effort.suspects) ??
-        groups.chooseGroup(request, effort.excluded);
-      const isBegun = effort.position > 0;
-      const isTimeLeft = waited < LONGEST_WAIT_FOR_GROUP;
-      const mayWait = isBegun && isTimeLeft && !this.#isElsewhere(request);
-      if (place !== null || !mayWait || effort.signal.aborted) {
-        return place;
+      const target =
+        groups.chooseGroup(request, progress.suspects) ??
+        groups.chooseGroup(request, progress.excluded);
+      const hasStarted = progress.position > 0;
+      const isTimeLeft = waited < GROUP_WAIT_TIMEOUT;
+      const mayWait =
+        hasStarted && isTimeLeft && !this.#isServedOnlyElsewhere(request);
+      if (target !== null || !mayWait || progress.signal.aborted) {
+        return target;
       }
       await new Promise<void>((resolve) => {
-        clock.after(WAIT_STEP, resolve);
+        clock.after(GROUP_WAIT_INTERVAL, resolve);
       });
     }
   }
 
-  /** Whether another zone can go on at once where this one cannot. */
-  #isElsewhere(request: ICallerRequest): boolean {
+  /** Whether only another zone can serve the request now. */
+  #isServedOnlyElsewhere(request: ICallerRequest): boolean {
     const { groups, isServedElsewhere } = this.#parts;
     const { name } = request.service;
     return !groups.refresh(name) && isServedElsewhere(name);
@@ -167,69 +173,69 @@
 
   async *#attempt(
     body: GenerateBody,
-    on: { readonly place: IChosenTarget; readonly effort: StreamProgress },
+    on: { readonly target: IChosenTarget; readonly progress: StreamProgress },
   ): AsyncIterable<Result<readonly IEngineToken[], ICallFailure>> {
-    const { place, effort } = on;
+    const { target, progress } = on;
     const { groups, targets } = this.#parts;
-    if (place.group === null) {
+    if (target.group === null) {
       const kind = CallFailureKind.NotSent;
-      yield Err({ kind, detail: `${place.id} is no replica group` });
+      yield Err({ kind, detail: `${target.id} is not a replica group` });
       return;
     }
-    const { request } = effort;
+    const { request } = progress;
     const call = {
       requestId: request.requestId,
-      group: place.group.id,
-      generation: place.group.generation,
+      group: target.group.id,
+      generation: target.group.generation,
       prompt: body.prompt,
       maximumTokens: body.maximum_tokens,
       priority: request.account.plan.priority,
-      resumeFrom: effort.position,
+      resumeFrom: progress.position,
     };
     const options = {
-      firstTokenWithin: this.#bounds.firstToken,
-      nextTokenWithin: this.#bounds.nextToken,
-      signal: effort.signal,
+      firstTokenWithin: this.#timeouts.firstToken,
+      nextTokenWithin: this.#timeouts.nextToken,
+      signal: progress.signal,
     };
-    const end = groups.beginRequest(place);
+    const end = groups.beginRequest(target);
     try {
-      yield* targets.generate(place.address, call, options);
+      yield* targets.generate(target.address, call, options);
     } finally {
       end();
     }
   }
 
-  #note(
+  #reportFailure(
     request: ICallerRequest,
-    place: IChosenTarget,
+    target: IChosenTarget,
     failure: ICallFailure,
   ): void {
     const { kind, detail } = failure;
     this.#parts.metrics.count("engine_attempts_failed", { kind });
     this.#parts.log.warn("engine_attempt_failed", {
       request: request.requestId,
-      group: place.id,
+      group: target.id,
       kind,
       detail,
     });
   }
 
-  #giveUp(effort: StreamProgress): IRefusal {
-    const { request, mayHaveRun } = effort;
+  #createRefusal(progress: StreamProgress): IRefusal {
+    const { request, mayHaveRun } = progress;
     const { name } = request.service;
     if (request.signal.aborted) {
-      return outcomeUnknown(Reason.CallerLeft, "the caller is gone");
+      return outcomeUnknown(Reason.CallerLeft, "the caller disconnected");
     }
-    if (effort.isDeadlinePassed) {
+    if (progress.isDeadlinePassed) {
       const detail = "the answer was not whole by its deadline";
-      const say = mayHaveRun ? outcomeUnknown : notRun;
-      return say(Reason.DeadlinePassed, detail);
+      const createRefusal = mayHaveRun ? outcomeUnknown : notRun;
+      return createRefusal(Reason.DeadlinePassed, detail);
     }
     if (!mayHaveRun) {
-      const detail = `no complete replica group of ${name} took the request`;
+      const detail = `no complete replica group of ${name} accepted the request`;
       return notRun(Reason.NoReplica, detail, NO_REPLICA_RETRY_AFTER);
     }
-    const detail = `the replica groups of ${name} broke off`;
+    const detail = `the replica groups of ${name} did not complete the answer`;
     return outcomeUnknown(Reason.TargetLost, detail, NO_REPLICA_RETRY_AFTER);
   }
 }
--- a/src/common/services/forward_service.ts
+++ b/src/common/services/forward_service.ts
@@ -1,4 +1,4 @@
-/** Runs requests handed over by daemons of other zones. */
+/** Runs requests forwarded by daemons of other zones. */
 import { Err } from "ts-results-es";
 import type { PlanBook } from "../plans/plan_book.ts";
 import { Reason } from "../types.ts";
@@ -10,21 +10,21 @@
 import type { IClock } from "./services.ts";
 import type { ICallerRequest } from "./types.ts";
 
-/** When to come back to a daemon that is shutting down, milliseconds. */
+/** Retry delay given by a daemon that is shutting down, milliseconds. */
 const SHUTDOWN_RETRY_AFTER = 500;
 
 /**
- * Serves from this zone's own groups only: a request is handed over once. A
- * second hop could send it round in circles between two full zones, which one
- * would notice as load that rises in both without any new caller.
+ * Serves from this zone's own groups only, so that a request is forwarded at
+ * most once. With a second hop, requests could circulate between two full zones
+ * and raise the load in both without any new caller.
  */
 export class ForwardService {
   readonly #admission: AdmissionService;
   readonly #engines: EngineRunner;
-  readonly #book: PlanBook;
+  readonly #plans: PlanBook;
   readonly #services: ReadonlyMap<ServiceName, IServiceDefinition>;
   readonly #clock: IClock;
-  #open = 0;
+  #inFlight = 0;
   #isStopping = false;
   #whenIdle: (() => void) | null = null;
 
@@ -37,12 +37,12 @@
   }) {
     this.#admission = parts.admission;
     this.#engines = parts.engines;
-    this.#book = parts.book;
+    this.#plans = parts.book;
     this.#services = parts.services;
     this.#clock = parts.clock;
   }
 
-  /** Answers a request handed over by another zone. */
+  /** Answers a request forwarded by another zone. */
   async *serve(
     forwarded: IForwardedRequest,
     signal: AbortSignal,
@@ -52,18 +52,19 @@
       yield Err(notRun(Reason.ShuttingDown, detail, SHUTDOWN_RETRY_AFTER));
       return;
     }
-    const request = this.#find(forwarded, signal);
+    const request = this.#resolve(forwarded, signal);
     if (request === null) {
-      const detail = "the account, service or operation is not known here";
+      const detail =
+        "the account, service or operation is unknown in this zone";
       yield Err(notRun(Reason.NoSuchOperation, detail));
       return;
     }
-    this.#open += 1;
+    this.#inFlight += 1;
     try {
       yield* this.#run(request);
     } finally {
-      this.#open -= 1;
-      if (this.#open === 0) {
+      this.#inFlight -= 1;
+      if (this.#inFlight === 0) {
         this.#whenIdle?.();
       }
     }
@@ -72,7 +73,7 @@
   /** Refuses new requests; resolves when those in flight are done. */
   async stop(): Promise<void> {
     this.#isStopping = true;
-    if (this.#open > 0) {
+    if (this.#inFlight > 0) {
       await new Promise<void>((resolve) => {
         this.#whenIdle = resolve;
       });
@@ -96,12 +97,12 @@
     }
   }
 
-  #find(
+  #resolve(
     forwarded: IForwardedRequest,
     signal: AbortSignal,
   ): ICallerRequest | null {
     const { body, requestId, resumeFrom } = forwarded;
-    const account = this.#book.accounts.find(
+    const account = this.#plans.accounts.find(
       ({ customer }) => customer.account === forwarded.account,
     );
     const service = this.#services.get(forwarded.service);
--- a/src/common/services/forwarding.ts
+++ b/src/common/services/forwarding.ts
@@ -1,4 +1,4 @@
-/** Handing requests to daemons of other zones: the port and its messages. */
+/** Port and messages for forwarding requests to daemons of other zones. */
 import type { Result } from "ts-results-es";
 import type {
   AccountName,
@@ -9,27 +9,27 @@
 } from "../types.ts";
 import type { IEngineToken } from "./services.ts";
 
-/** Tokens, or the final word that there are no more. */
+/** Tokens, or the refusal that ends the answer. */
 export type TokenBatch = Result<readonly IEngineToken[], IRefusal>;
 
-/** A request as handed to a daemon of another zone. */
+/** A request as forwarded to a daemon of another zone. */
 export interface IForwardedRequest {
   readonly requestId: RequestId;
   readonly account: AccountName;
   readonly service: ServiceName;
   readonly operation: string;
   readonly body: unknown;
-  /** Milliseconds until an answer is worth nothing. */
+  /** Milliseconds until the deadline. */
   readonly remaining: number;
-  /** Sequence number of the first token wanted. */
+  /** Sequence number of the first token requested. */
   readonly resumeFrom: number;
 }
 
-/** Calls to daemons of other zones. */
+/** Forwards requests to daemons of other zones. */
 export interface IForwarder {
   /**
-   * Tokens in order without gaps from `resumeFrom` on. An end without an end
-   * mark is never whole.
+   * Streams tokens in order without gaps, starting at `resumeFrom`. An answer
+   * without a token that has `isEnd` is incomplete.
    *
    * @param address - `host:port` of the peer
    */
@@ -40,7 +40,7 @@
   ): AsyncIterable<TokenBatch>;
 }
 
-/** A daemon of another zone that may take a request. */
+/** A daemon of another zone that a request may be forwarded to. */
 export interface ISpillTarget {
   readonly zone: ZoneName;
   readonly address: string;
--- a/src/common/services/plain_service_runner.ts
+++ b/src/common/services/plain_service_runner.ts
@@ -1,4 +1,4 @@
-/** Runs calls on plain services; those that may not be repeated, once. */
+/** Runs calls on plain services; non-repeatable calls run at most once. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { Reason } from "../types.ts";
@@ -10,19 +10,19 @@
 import type { RetryService } from "./retry_service.ts";
 import type { IBufferedAnswer, ICallerRequest } from "./types.ts";
 
-/** Targets tried for one repeatable call before it is given up. */
-const MAXIMUM_TRIES = 3;
+/** Targets tried for one repeatable call before it fails. */
+const MAXIMUM_ATTEMPTS = 3;
 
 /**
- * Silence after which a repeatable call is sent again, milliseconds. Without
- * it a connection that has gone silent would cost a caller its whole deadline.
+ * Idle time after which a repeatable call is sent again, milliseconds. Without
+ * it, one stalled connection would use up the caller's whole deadline.
  */
-const LONGEST_SILENCE = 2_000;
+const RESPONSE_TIMEOUT = 2_000;
 
-/** When to come back if no target can serve, milliseconds. */
+/** Retry delay given to a caller when no target answered, milliseconds. */
 const NO_TARGET_RETRY_AFTER = 2_000;
 
-/** What the runner works with. */
+/** Dependencies of {@link PlainServiceRunner}. */
 export interface IPlainServiceRunnerParts extends IAtMostOnceParts {
   readonly retries: RetryService;
 }
@@ -30,25 +30,25 @@
 /** Runs calls on plain services of this zone. */
 export class PlainServiceRunner {
   readonly #parts: IPlainServiceRunnerParts;
-  readonly #once: AtMostOnceRunner;
+  readonly #atMostOnce: AtMostOnceRunner;
 
   constructor(parts: IPlainServiceRunnerParts) {
     this.#parts = parts;
-    this.#once = new AtMostOnceRunner(parts);
+    this.#atMostOnce = new AtMostOnceRunner(parts);
   }
 
-  /** The whole answer, or why there is none. */
+  /** Resolves with the complete answer, or with a refusal. */
   async run(
     request: ICallerRequest,
   ): Promise<Result<IBufferedAnswer, IRefusal>> {
     return request.operation.repeatable
       ? this.#runRepeatable(request)
-      : this.#once.run(request);
+      : this.#atMostOnce.run(request);
   }
 
-  /** Waits for runs that go on without their callers, and their records. */
+  /** Waits for runs that outlive their callers, and for their records. */
   async close(): Promise<void> {
-    await this.#once.drain();
+    await this.#atMostOnce.drain();
     await this.#parts.records.close();
   }
 
@@ -58,60 +58,62 @@
     const { clock, groups, retries } = this.#parts;
     const avoid = new Set<string>();
     retries.recordFirstAttempt(request);
-    for (let tries = 0; tries < MAXIMUM_TRIES; tries++) {
-      const place = groups.choosePlain(request, avoid);
-      if (place === null || clock.now() >= request.deadline) {
+    for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+      const target = groups.choosePlain(request, avoid);
+      if (target === null || clock.now() >= request.deadline) {
         break;
       }
-      const answer = await this.#call(request, place);
+      const answer = await this.#call(request, target);
       if (answer.isOk()) {
         return Ok({ body: answer.value });
       }
       if (request.signal.aborted) {
-        return Err(outcomeUnknown(Reason.CallerLeft, "the caller is gone"));
+        return Err(
+          outcomeUnknown(Reason.CallerLeft, "the caller disconnected"),
+        );
       }
-      avoid.add(place.id);
+      avoid.add(target.id);
       if (!(await retries.waitForRetry(request))) {
         break;
       }
     }
-    return Err(this.#giveUp(request, avoid.size > 0));
+    return Err(this.#createRefusal(request, avoid.size > 0));
   }
 
   async #call(
     request: ICallerRequest,
-    place: IChosenTarget,
+    target: IChosenTarget,
   ): Promise<Result<unknown, ICallFailure>> {
     const { clock, groups, targets } = this.#parts;
-    const end = groups.beginRequest(place);
+    const end = groups.beginRequest(target);
     const { requestId, operation, body } = request;
-    const left = request.deadline - clock.now();
+    const remaining = request.deadline - clock.now();
     const call = {
       requestId,
       operation: operation.name,
       body,
-      timeout: Math.min(left, LONGEST_SILENCE),
+      timeout: Math.min(remaining, RESPONSE_TIMEOUT),
       onNewConnection: false,
     };
     try {
       const { signal } = request;
-      const answer = await targets.call(place.address, call, signal);
-      groups.recordTokens(place, answer.isOk() ? 1 : 0);
+      const answer = await targets.call(target.address, call, signal);
+      groups.recordTokens(target, answer.isOk() ? 1 : 0);
       return answer;
     } finally {
       end();
     }
   }
 
-  #giveUp(request: ICallerRequest, wasTried: boolean): IRefusal {
+  #createRefusal(request: ICallerRequest, wasAttempted: boolean): IRefusal {
     const isLate = this.#parts.clock.now() >= request.deadline;
     if (isLate) {
       const detail = "no answer by the deadline";
-      return wasTried
+      return wasAttempted
         ? outcomeUnknown(Reason.DeadlinePassed, detail)
         : notRun(Reason.DeadlinePassed, detail);
     }
-    if (!wasTried) {
+    if (!wasAttempted) {
       return noTarget(request);
     }
     const detail = `no target of ${request.service.name} answered`;
--- a/src/common/services/refusal.ts
+++ b/src/common/services/refusal.ts
@@ -1,8 +1,8 @@
-/** Makes the final words for callers that get no answer. */
+/** Creates refusals: final replies to requests that get no answer. */
 import { Outcome } from "../types.ts";
 import type { IRefusal, Reason } from "../types.ts";
 
-/** The request did not run and will not. */
+/** Refuses a request that has not run and will not. */
 export function notRun(
   reason: Reason,
   detail: string,
@@ -11,7 +11,7 @@
   return { outcome: Outcome.NotRun, reason, detail, retryAfter };
 }
 
-/** The request may have run. */
+/** Refuses a request that may have run. */
 export function outcomeUnknown(
   reason: Reason,
   detail: string,
--- a/src/common/services/retry_service.ts
+++ b/src/common/services/retry_service.ts
@@ -1,14 +1,14 @@
-/** Keeps the retry budgets, and makes second tries wait for their turn. */
+/** Holds the retry budgets, and delays retries as they require. */
 import { RetryBudget } from "../decisions/retry_budget.ts";
 import type { GroupDirectory } from "./group_directory.ts";
 import type { IClock, IMetrics, IRandom } from "./services.ts";
 import type { ICallerRequest } from "./types.ts";
 import { workOf } from "./work_of.ts";
 
-/** Budgets kept; the least recently used is forgotten and starts anew. */
+/** Budgets held at most; the least recently used is dropped and reset. */
 const MAXIMUM_BUDGETS = 10_000;
 
-/** What the service works with. */
+/** Dependencies of {@link RetryService}. */
 export interface IRetryParts {
   readonly groups: GroupDirectory;
   readonly clock: IClock;
@@ -16,7 +16,7 @@
   readonly metrics: IMetrics;
 }
 
-/** One budget for each client account at each service. */
+/** Limits retries, with one budget for each client account at each service. */
 export class RetryService {
   readonly #parts: IRetryParts;
   readonly #budgets = new Map<string, RetryBudget>();
@@ -25,17 +25,17 @@
     this.#parts = parts;
   }
 
-  /** A request is sent for the first time. */
+  /** Credits the budget with a request's first attempt. */
   recordFirstAttempt(request: ICallerRequest): void {
     this.#budgetOf(request).recordFirstAttempt(this.#parts.clock.now());
   }
 
-  /** Resolves when a second try may be sent; with false if there is none. */
+  /** Resolves with true when a retry may be sent, or false if it may not. */
   async waitForRetry(request: ICallerRequest): Promise<boolean> {
     const { clock, groups, random, metrics } = this.#parts;
     const { name } = request.service;
-    const run = groups.schedulerOf(name).estimateRunTime(workOf(request));
-    const within = request.deadline - clock.now() - run;
+    const runTime = groups.schedulerOf(name).estimateRunTime(workOf(request));
+    const within = request.deadline - clock.now() - runTime;
     const next = () => random.next();
     const wait = this.#budgetOf(request).take(within, next);
     const isAllowed = wait !== null && !request.signal.aborted;
--- a/src/common/services/spilling_engine_runner.ts
+++ b/src/common/services/spilling_engine_runner.ts
@@ -1,9 +1,9 @@
 /**
  * Serves from this zone, and from another zone where this one cannot.
  *
- * What goes wrong without it: a fabric domain goes dark and every caller of
- * the zone is refused while the next zone has idle groups. Zones are several
- * milliseconds apart over costly links, so this zone always goes first.
+ * Without it, callers of a zone that has lost a fabric domain would be refused
+ * while another zone has idle groups. Zones are several milliseconds apart
+ * over costly links, so the local zone is always tried first.
  */
 import { Err } from "ts-results-es";
 import { Outcome, Reason } from "../types.ts";
@@ -19,28 +19,28 @@
 import type { IClock, ILog, IMetrics } from "./services.ts";
 import type { ICallerRequest } from "./types.ts";
 
-/** Daemons of other zones asked for one request before it is given up. */
-const MAXIMUM_HANDOVERS = 2;
+/** Daemons of other zones that one request is forwarded to at most. */
+const MAXIMUM_FORWARDS = 2;
 
-/** What the runner works with. */
+/** Dependencies of {@link SpillingEngineRunner}. */
 export interface ISpillingEngineRunnerParts {
   readonly local: EngineRunner;
   readonly forwarder: IForwarder;
-  /** Daemons of zones that have complete groups of a service, best first. */
+  /** Daemons of zones with complete groups of a service, best first. */
   readonly targets: (service: ServiceName) => readonly ISpillTarget[];
   readonly clock: IClock;
   readonly log: ILog;
   readonly metrics: IMetrics;
 }
 
-/** What the last source of tokens came to. */
+/** State of an answer after the last zone that produced tokens for it. */
 interface IProgress {
   position: number;
-  isWhole: boolean;
+  isComplete: boolean;
   refusal: IRefusal | null;
 }
 
-/** Runs requests for tokens wherever they can be run. */
+/** Runs requests for tokens in this zone, then in others. */
 export class SpillingEngineRunner {
   readonly #parts: ISpillingEngineRunnerParts;
 
@@ -48,35 +48,35 @@
     this.#parts = parts;
   }
 
-  /** Tokens in order without gaps, from one zone or from several in turn. */
+  /** Yields tokens in order without gaps, from one or more zones in turn. */
   async *stream(request: ICallerRequest): AsyncIterable<TokenBatch> {
     const progress: IProgress = {
       position: request.resumeFrom,
-      isWhole: false,
+      isComplete: false,
       refusal: null,
     };
-    yield* this.#local(request, progress);
+    yield* this.#streamLocal(request, progress);
     const targets = this.#parts.targets(request.service.name);
-    for (const target of targets.slice(0, MAXIMUM_HANDOVERS)) {
-      if (progress.isWhole || !this.#maySpill(request, progress.refusal)) {
+    for (const target of targets.slice(0, MAXIMUM_FORWARDS)) {
+      if (progress.isComplete || !this.#maySpill(request, progress.refusal)) {
         break;
       }
-      yield* this.#remote(request, target, progress);
+      yield* this.#streamRemote(request, target, progress);
     }
-    if (!progress.isWhole) {
+    if (!progress.isComplete) {
       const early = outcomeUnknown(Reason.TargetLost, "the answer ended early");
       yield Err(progress.refusal ?? early);
     }
   }
 
-  #local(
+  #streamLocal(
     request: ICallerRequest,
     progress: IProgress,
   ): AsyncIterable<TokenBatch> {
-    return follow(this.#parts.local.stream(request), progress);
+    return relayTokens(this.#parts.local.stream(request), progress);
   }
 
-  async *#remote(
+  async *#streamRemote(
     request: ICallerRequest,
     target: ISpillTarget,
     progress: IProgress,
@@ -87,20 +87,26 @@
     metrics.count("requests_spilled", { service: service.name, zone });
     const fields = { service: service.name, zone, from: progress.position };
     log.info("request_spilled", { request: requestId, ...fields });
-    const forwarded = this.#forwarded(request, progress.position);
+    const forwarded = this.#toForwardedRequest(request, progress.position);
     const tokens = forwarder.generate(
       target.address,
       forwarded,
       request.signal,
     );
-    const before = progress.refusal;
-    yield* follow(tokens, progress);
-    if (progress.refusal?.outcome === Outcome.NotRun && mayHaveRun(before)) {
-      progress.refusal = before;
+    const previousRefusal = progress.refusal;
+    yield* relayTokens(tokens, progress);
+    if (
+      progress.refusal?.outcome === Outcome.NotRun &&
+      mayHaveRun(previousRefusal)
+    ) {
+      progress.refusal = previousRefusal;
     }
   }
 
-  #forwarded(request: ICallerRequest, position: number): IForwardedRequest {
+  #toForwardedRequest(
+    request: ICallerRequest,
+    position: number,
+  ): IForwardedRequest {
     return {
       requestId: request.requestId,
       account: request.account.customer.account,
@@ -113,16 +119,16 @@
   }
 
   /**
-   * Only where this zone's groups are missing or broke off. A refusal for load
-   * is the caller's final answer and is given before this is reached: handing
-   * it on would move a full zone's load to its neighbours all at once.
+   * Allows spilling only when this zone's groups are missing or failed. Load
+   * refusals are final and are made at admission: forwarding them would move a
+   * full zone's load to the other zones all at once.
    */
   #maySpill(request: ICallerRequest, refusal: IRefusal | null): boolean {
-    const isLost =
+    const isUnserved =
       refusal?.reason === Reason.NoReplica ||
       refusal?.reason === Reason.TargetLost;
     const hasTime = this.#parts.clock.now() < request.deadline;
-    return isLost && hasTime && !request.signal.aborted;
+    return isUnserved && hasTime && !request.signal.aborted;
   }
 }
 
@@ -130,8 +136,8 @@
   return refusal?.outcome === Outcome.Unknown;
 }
 
-/** Passes tokens on, keeps the position, and holds the final word back. */
-async function* follow(
+/** Passes tokens on and records progress; a refusal is kept, not yielded. */
+async function* relayTokens(
   tokens: AsyncIterable<TokenBatch>,
   progress: IProgress,
 ): AsyncIterable<TokenBatch> {
@@ -144,7 +150,7 @@
     yield batch;
     const last = batch.value.at(-1);
     if (last?.isEnd) {
-      progress.isWhole = true;
+      progress.isComplete = true;
       return;
     }
     progress.position = last ? last.sequence + 1 : progress.position;
--- a/src/common/services/stream_progress.ts
+++ b/src/common/services/stream_progress.ts
@@ -1,49 +1,49 @@
-/** How far one request for tokens has come over its attempts. */
+/** Tracks the progress of one token stream over several attempts. */
 import { CallFailureKind } from "../types.ts";
 import type { ICallFailure } from "../types.ts";
 import type { IClock, IEngineToken } from "./services.ts";
 import type { ICallerRequest } from "./types.ts";
 
-/** Attempts in a row that bring nothing before a request is given up. */
-const MAXIMUM_VAIN_TRIES = 6;
+/** Consecutive attempts without a token after which a request fails. */
+const MAXIMUM_FAILURES = 6;
 
 /**
- * Keeps position, attempts and suspects of one request. Silence or a broken
- * connection is first taken as the connection's fault: the group becomes a
- * suspect that other groups are preferred to, and may be asked once more, on a
- * new connection. Only when that fails too is it given up for this request.
+ * Tracks position, failed attempts and suspect groups of one request. A stall
+ * or a broken connection is first blamed on the connection: the group becomes
+ * a suspect, is tried only after the others, and gets one more attempt on a new
+ * connection. If that fails too, the group is excluded for this request.
  *
- * Only attempts that bring nothing are counted: a long stream may well outlive
- * many groups, and its caller would lose what it has.
+ * Only attempts that yield no token count towards the limit: a long stream may
+ * outlive many groups, and its caller would lose what it has received.
  */
 export class StreamProgress implements Disposable {
   readonly request: ICallerRequest;
   readonly suspects = new Set<string>();
   readonly excluded = new Set<string>();
-  readonly #ending = new AbortController();
-  readonly #endOfTime: { dispose(): void };
-  readonly #end = () => this.#ending.abort();
+  readonly #abortController = new AbortController();
+  readonly #deadlineTimer: { dispose(): void };
+  readonly #abort = () => this.#abortController.abort();
   /** Failed attempts since the last token. */
-  #vainTries = 0;
+  #failures = 0;
   #position: number;
-  #isWhole = false;
-  #isLate = false;
+  #isComplete = false;
+  #isDeadlinePassed = false;
   #mayHaveRun = false;
 
   constructor(request: ICallerRequest, clock: IClock) {
     this.request = request;
     this.#position = request.resumeFrom;
-    const left = Math.max(0, request.deadline - clock.now());
-    this.#endOfTime = clock.after(left, () => {
-      this.#isLate = true;
-      this.#end();
+    const remaining = Math.max(0, request.deadline - clock.now());
+    this.#deadlineTimer = clock.after(remaining, () => {
+      this.#isDeadlinePassed = true;
+      this.#abort();
     });
-    request.signal.addEventListener("abort", this.#end, { once: true });
+    request.signal.addEventListener("abort", this.#abort, { once: true });
   }
 
   /** Aborted when the caller leaves or the deadline passes. */
   get signal(): AbortSignal {
-    return this.#ending.signal;
+    return this.#abortController.signal;
   }
 
   /** The sequence number of the next token. */
@@ -52,52 +52,52 @@
   }
 
   get isComplete(): boolean {
-    return this.#isWhole;
+    return this.#isComplete;
   }
 
   get isDeadlinePassed(): boolean {
-    return this.#isLate;
+    return this.#isDeadlinePassed;
   }
 
-  /** Whether an engine may have worked on it. */
+  /** Whether an engine may have run the request. */
   get mayHaveRun(): boolean {
     return this.#mayHaveRun;
   }
 
   get mayAttempt(): boolean {
-    return this.#vainTries < MAXIMUM_VAIN_TRIES && !this.signal.aborted;
+    return this.#failures < MAXIMUM_FAILURES && !this.signal.aborted;
   }
 
-  /** Tokens have been passed on to the caller. */
+  /** Records tokens that are passed on to the caller. */
   recordTokens(tokens: readonly IEngineToken[]): void {
     const last = tokens.at(-1);
     if (last !== undefined) {
-      this.#vainTries = 0;
+      this.#failures = 0;
       this.#mayHaveRun = true;
-      this.#isWhole = last.isEnd;
+      this.#isComplete = last.isEnd;
       this.#position = last.isEnd ? last.sequence : last.sequence + 1;
     }
   }
 
-  /** An attempt at a group has failed. */
+  /** Records a failed attempt on a group. */
   recordFailure(group: string, failure: ICallFailure): void {
-    this.#vainTries += 1;
-    const isUnsure = failure.kind === CallFailureKind.Unknown;
-    this.#mayHaveRun ||= isUnsure;
-    if (!isUnsure || this.suspects.has(group)) {
+    this.#failures += 1;
+    const mayHaveActed = failure.kind === CallFailureKind.Unknown;
+    this.#mayHaveRun ||= mayHaveActed;
+    if (!mayHaveActed || this.suspects.has(group)) {
       this.excluded.add(group);
     }
     this.suspects.add(group);
   }
 
-  /** Lets groups be asked again that have failed this request. */
+  /** Allows excluded groups to be tried again. */
   clearExcluded(): void {
     this.excluded.clear();
   }
 
   [Symbol.dispose](): void {
-    this.#endOfTime.dispose();
-    this.request.signal.removeEventListener("abort", this.#end);
-    this.#ending.abort();
+    this.#deadlineTimer.dispose();
+    this.request.signal.removeEventListener("abort", this.#abort);
+    this.#abortController.abort();
   }
 }
--- a/src/common/services/stream_progress_test.ts
+++ b/src/common/services/stream_progress_test.ts
@@ -6,8 +6,8 @@
 
 const BROKEN = { kind: CallFailureKind.Unknown, detail: "other side closed" };
 
-/** The effort for a request that has a minute. */
-function startEffort(clock: ManualClock): StreamProgress {
+/** Starts the progress of a request whose deadline is in one minute. */
+function startProgress(clock: ManualClock): StreamProgress {
   const request = {
     resumeFrom: 0,
     deadline: 60_000,
@@ -16,35 +16,37 @@
   return new StreamProgress(request, clock);
 }
 
-describe("the effort for one stream", () => {
-  // Guards against a half-read answer given up because its groups broke off
-  // often, although each of them had gone on with it.
-  it("goes on as long as each attempt brings the stream further", () => {
-    using effort = startEffort(new ManualClock());
+describe("StreamProgress", () => {
+  // Guards against failing a partly read answer because of many interrupted
+  // attempts, although each of them yielded tokens.
+  it("allows attempts as long as each yields a token", () => {
+    using progress = startProgress(new ManualClock());
     for (let sequence = 0; sequence < 20; sequence += 1) {
-      effort.recordTokens([{ sequence, text: "word", isEnd: false }]);
-      effort.recordFailure("group-1", BROKEN);
-      expect(effort.mayAttempt).to.equal(true);
+      progress.recordTokens([{ sequence, text: "word", isEnd: false }]);
+      progress.recordFailure("group-1", BROKEN);
+      expect(progress.mayAttempt).to.equal(true);
     }
-    expect(effort.position).to.equal(20);
+    expect(progress.position).to.equal(20);
   });
 
-  it("ends when attempts in a row bring nothing", () => {
-    using effort = startEffort(new ManualClock());
-    effort.recordTokens([{ sequence: 0, text: "word", isEnd: false }]);
+  // Guards against retrying for ever on groups that yield nothing.
+  it("stops after consecutive attempts without a token", () => {
+    using progress = startProgress(new ManualClock());
+    progress.recordTokens([{ sequence: 0, text: "word", isEnd: false }]);
     for (let attempt = 0; attempt < 6; attempt += 1) {
-      expect(effort.mayAttempt).to.equal(true);
-      effort.recordFailure("group-1", BROKEN);
+      expect(progress.mayAttempt).to.equal(true);
+      progress.recordFailure("group-1", BROKEN);
     }
-    expect(effort.mayAttempt).to.equal(false);
+    expect(progress.mayAttempt).to.equal(false);
   });
 
-  it("ends at the deadline", () => {
+  // Guards against attempts after the caller's deadline.
+  it("stops at the deadline", () => {
     const clock = new ManualClock();
-    using effort = startEffort(clock);
-    effort.recordTokens([{ sequence: 0, text: "word", isEnd: false }]);
+    using progress = startProgress(clock);
+    progress.recordTokens([{ sequence: 0, text: "word", isEnd: false }]);
     clock.advance(60_001);
-    expect(effort.mayAttempt).to.equal(false);
-    expect(effort.isDeadlinePassed).to.equal(true);
+    expect(progress.mayAttempt).to.equal(false);
+    expect(progress.isDeadlinePassed).to.equal(true);
   });
 });
--- a/src/common/services/work_of.ts
+++ b/src/common/services/work_of.ts
@@ -1,18 +1,18 @@
-/** What a caller's request costs, as far as its body tells. */
+/** Estimates the cost of a request from its body. */
 import type { IWorkItem } from "../decisions/work_item.ts";
 import { ServiceKind } from "../types.ts";
 import type { ICallerRequest } from "./types.ts";
 
-/** Characters of a prompt that make a token, about. */
+/** Approximate characters of a prompt for each token. */
 const CHARACTERS_PER_TOKEN = 4;
 
-/** Characters that prompts must begin alike with to share a prefix. */
+/** Leading characters that prompts must have in common to share a prefix. */
 const PREFIX_CHARACTERS = 256;
 
-/** Tokens an engine makes when the caller asks for no number. */
+/** Tokens an engine generates when the request sets no maximum. */
 export const DEFAULT_MAXIMUM_TOKENS = 256;
 
-/** The request as the decisions see it. */
+/** Describes a request to the scheduler. */
 export function workOf(request: ICallerRequest): IWorkItem {
   const { account, arrivedAt, deadline, requestId, service } = request;
   const isCall = service.kind === ServiceKind.Plain;
@@ -28,7 +28,7 @@
   };
 }
 
-/** A plain call is answered at once, as if by a single token. */
+/** A plain call counts as an answer of one token. */
 const CALL_SIZE = { promptTokens: 0, askedTokens: 1, prefix: "" };
 
 function sizeOf(body: unknown) {
