--- a/src/common/services/run_record_retry_queue.ts
+++ b/src/common/services/run_record_retry_queue.ts
@@ -1,8 +1,8 @@
 /**
- * Writes to run records that could not be done in time for their caller: how
- * a call ended, and withdrawals of tries in doubt. Without it a platform
- * outage of seconds would leave records open for good, and each repeat by a
- * caller would be told "unknown" of a call whose end this daemon knows.
+ * Retries run record writes that failed while their caller waited: outcomes of
+ * calls, and withdrawals of attempts in doubt. Without it, a platform outage of
+ * seconds would leave records open for good, and each retry by a caller would
+ * be told "unknown" although this daemon knows the outcome.
  */
 import type { Result } from "ts-results-es";
 import { locationOf } from "../runs/run_location.ts";
@@ -18,33 +18,33 @@
   IWriteFailure,
 } from "./services.ts";
 
-/** Records waiting at most: about 10 MB at 1 KB each. */
-const LARGEST_QUEUE = 10_000;
+/** Queued records at most: about 10 MB at 1 KB each. */
+const MAXIMUM_QUEUE_LENGTH = 10_000;
 
-/** Pause after a write that failed, milliseconds; doubled up to a bound. */
+/** Bounds of the pause after a failed write, milliseconds; it doubles. */
 const SHORTEST_PAUSE = 250;
 const LONGEST_PAUSE = 4_000;
 
-/** How long one record is tried for, milliseconds: an hour's outage. */
-const LONGEST_WAIT = 3_600_000;
+/** How long one record is retried, milliseconds: covers an hour's outage. */
+const LONGEST_RETRY_TIME = 3_600_000;
 
-/** A record that must still be brought to its end. */
-interface IUnsettled {
+/** A record whose final state is still to be written. */
+interface IQueuedRecord {
   readonly record: RunRecord;
-  /** The version to finish; null when the try itself is in doubt. */
+  /** The version to replace; null to withdraw an attempt in doubt. */
   readonly version: number | null;
   readonly since: MonotonicTime;
 }
 
-/** Settles records one after another, in the background. */
+/** Writes queued records one after another, in the background. */
 export class RunRecordRetryQueue {
   readonly #platform: IPlatform;
   readonly #clock: IClock;
   readonly #log: ILog;
   readonly #metrics: IMetrics;
-  #queue: IUnsettled[] = [];
+  #queue: IQueuedRecord[] = [];
   #pause = SHORTEST_PAUSE;
-  #work: Promise<void> | null = null;
+  #processing: Promise<void> | null = null;
 
   constructor(ports: {
     readonly platform: IPlatform;
@@ -58,47 +58,47 @@
     this.#metrics = ports.metrics;
   }
 
-  /** Records not yet settled. */
+  /** Number of queued records. */
   get waiting(): number {
     return this.#queue.length;
   }
 
-  /** Brings a record to its end over the version that the run was given. */
+  /** Writes a run's final record over the version that its permit holds. */
   finish(record: RunRecord, version: number): void {
     this.#add({ record, version, since: this.#clock.now() });
   }
 
-  /** Withdraws a try that was answered "not run" with its write in doubt. */
+  /** Withdraws an attempt answered "not run" whose write may take effect. */
   withdraw(record: RunRecord): void {
     this.#add({ record, version: null, since: this.#clock.now() });
   }
 
-  /** Resolves when nothing waits, or after a bound in milliseconds. */
-  async drain(bound: number): Promise<void> {
+  /** Resolves when the queue is empty, or after a limit in milliseconds. */
+  async drain(limit: number): Promise<void> {
     const timer: { stop: () => void } = { stop: () => undefined };
     const timeout = new Promise<void>((resolve) => {
-      const owned = this.#clock.after(bound, resolve);
+      const owned = this.#clock.after(limit, resolve);
       timer.stop = () => owned.dispose();
     });
-    await Promise.race([this.#work ?? Promise.resolve(), timeout]);
+    await Promise.race([this.#processing ?? Promise.resolve(), timeout]);
     timer.stop();
     for (const { record } of this.#queue) {
-      this.#noteLeftOpen(record, "stopped");
+      this.#logLeftOpen(record, "stopped");
     }
     this.#queue = [];
   }
 
-  #add(unsettled: IUnsettled): void {
-    if (this.#queue.length >= LARGEST_QUEUE) {
-      this.#noteLeftOpen(unsettled.record, "queue_full");
+  #add(queued: IQueuedRecord): void {
+    if (this.#queue.length >= MAXIMUM_QUEUE_LENGTH) {
+      this.#logLeftOpen(queued.record, "queue_full");
       return;
     }
-    this.#queue.push(unsettled);
+    this.#queue.push(queued);
     this.#metrics.gauge("run_records_unsettled", this.#queue.length);
-    this.#work ??= this.#settleAll();
+    this.#processing ??= this.#processQueue();
   }
 
-  async #settleAll(): Promise<void> {
+  async #processQueue(): Promise<void> {
     for (let next = this.#queue[0]; next; next = this.#queue[0]) {
       const isSettled = await this.#settle(next);
       if (this.#queue[0] === next) {
@@ -111,15 +111,15 @@
       }
       this.#metrics.gauge("run_records_unsettled", this.#queue.length);
     }
-    this.#work = null;
+    this.#processing = null;
   }
 
-  async #waitAndRequeue(unsettled: IUnsettled): Promise<void> {
-    if (this.#clock.now() - unsettled.since > LONGEST_WAIT) {
-      this.#noteLeftOpen(unsettled.record, "gave_up");
+  async #waitAndRequeue(queued: IQueuedRecord): Promise<void> {
+    if (this.#clock.now() - queued.since > LONGEST_RETRY_TIME) {
+      this.#logLeftOpen(queued.record, "gave_up");
       return;
     }
-    this.#queue.push(unsettled);
+    this.#queue.push(queued);
     const pause = this.#pause;
     this.#pause = Math.min(pause * 2, LONGEST_PAUSE);
     await new Promise<void>((resolve) => {
@@ -127,11 +127,11 @@
     });
   }
 
-  #settle(unsettled: IUnsettled): Promise<boolean> {
-    const { record, version } = unsettled;
+  #settle(queued: IQueuedRecord): Promise<boolean> {
+    const { record, version } = queued;
     return version === null
       ? this.#withdraw(record)
-      : this.#write(record, version).then(isSettledBy);
+      : this.#write(record, version).then(hasTakenEffect);
   }
 
   async #withdraw(mine: RunRecord): Promise<boolean> {
@@ -159,18 +159,22 @@
     record: RunRecord,
     expectedVersion: number | null,
   ): Promise<Result<number, IWriteFailure>> {
-    const place = locationOf(record);
-    return this.#platform.write({ ...place, value: record, expectedVersion });
+    const location = locationOf(record);
+    return this.#platform.write({
+      ...location,
+      value: record,
+      expectedVersion,
+    });
   }
 
-  #noteLeftOpen(record: RunRecord, why: string): void {
+  #logLeftOpen(record: RunRecord, why: string): void {
     const { operation, requestId, state } = record;
     const fields = { operation, request: requestId, state, why };
     this.#log.error("run_record_left_open", fields);
   }
 }
 
-/** A conflict means that an earlier try of the same write took effect. */
-function isSettledBy(written: Result<number, IWriteFailure>): boolean {
+/** A conflict means that an earlier attempt at the write took effect. */
+function hasTakenEffect(written: Result<number, IWriteFailure>): boolean {
   return written.isOk() || written.error.kind === WriteFailureKind.Conflict;
 }
--- a/src/common/services/run_record_service.ts
+++ b/src/common/services/run_record_service.ts
@@ -1,4 +1,4 @@
-/** Keeps run records in the platform, so that a call runs at most once. */
+/** Keeps run records on the platform, so that a call runs at most once. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { locationOf } from "../runs/run_location.ts";
@@ -28,34 +28,34 @@
   IWriteFailure,
 } from "./services.ts";
 
-/** When to come back while the platform is away, milliseconds. */
+/** Retry delay while the platform is unavailable, milliseconds. */
 const PLATFORM_RETRY_AFTER = 2_000;
 
-/** When to ask again for a call in progress, milliseconds. */
+/** Retry delay for a call in progress, milliseconds. */
 const IN_PROGRESS_RETRY_AFTER = 1_000;
 
 /**
- * Writes tried for one right to run. A lost answer takes one more, another
- * caller's withdrawn try one more; beyond that the caller is told to come back.
+ * Writes attempted to obtain one permit: one more after a lost answer and one
+ * more after another caller's withdrawn attempt. Then the caller must retry.
  */
-const BEGIN_TRIES = 3;
+const MAXIMUM_BEGIN_WRITES = 3;
 
 /**
- * Largest answer kept, bytes: the platform's megabyte less the record's other
- * fields, whose key, account and digests stay below 10 KB.
+ * Largest answer stored, bytes: the platform's limit of 1 MB less the record's
+ * other fields, whose key, account and digests stay below 10 KB.
  */
-const LARGEST_KEPT_ANSWER = 980_000;
+const LARGEST_STORED_ANSWER = 980_000;
 
-/** How long a stopping daemon waits for records to settle, milliseconds. */
-const DRAIN_BOUND = 10_000;
+/** How long shutdown waits for pending records to be written, milliseconds. */
+const DRAIN_TIMEOUT = 10_000;
 
-/** The right to run a call once. */
+/** Permission to run a call once. */
 export interface IRunPermit {
   readonly record: RunRecord;
   readonly version: number;
 }
 
-/** Either the right to run, or the answer recorded earlier. */
+/** Either permission to run, or the answer recorded earlier. */
 export type RunStart =
   | { readonly kind: "run"; readonly permit: IRunPermit }
   | {
@@ -64,28 +64,31 @@
       readonly omitted: OmittedAnswer | null;
     };
 
-/** What is asked to run once. */
+/** The request that a permit is for. */
 export interface IRunRequest {
   readonly bodyDigest: string;
   readonly requestId: RequestId;
-  /** Milliseconds after which a record still open was left behind. */
+  /** Milliseconds after which an open record counts as abandoned. */
   readonly openFor: number;
 }
 
-/** What the record service works with. */
+/** Dependencies of {@link RunRecordService}. */
 export interface IRunRecordPorts {
   readonly platform: IPlatform;
   readonly clock: IClock;
   readonly random: IRandom;
   readonly log: ILog;
   readonly metrics: IMetrics;
-  /** Digest of a text, for answers that are too large to keep. */
+  /** Computes a text's digest, for answers that are too large to store. */
   readonly digest: (text: string) => string;
 }
 
-type Found = { readonly record: RunRecord; readonly version: number } | null;
+type StoredRecord = {
+  readonly record: RunRecord;
+  readonly version: number;
+} | null;
 
-/** What one write and the reading after it came to. */
+/** The next step after a failed write and the read that followed it. */
 type Step =
   | { readonly kind: "start"; readonly start: Result<RunStart, IRefusal> }
   | { readonly kind: "again"; readonly expectedVersion: number | null }
@@ -94,34 +97,34 @@
 /** Creates, finds and finishes run records. */
 export class RunRecordService {
   readonly #ports: IRunRecordPorts;
-  readonly #settler: RunRecordRetryQueue;
+  readonly #retryQueue: RunRecordRetryQueue;
 
   constructor(ports: IRunRecordPorts) {
     this.#ports = ports;
-    this.#settler = new RunRecordRetryQueue(ports);
+    this.#retryQueue = new RunRecordRetryQueue(ports);
   }
 
   /**
-   * Asks for the right to run; given to at most one try for each key. A try
-   * that ends "not run" while a write of it may still land is withdrawn in
-   * the background, so that the key is not blocked by a run nobody makes.
+   * Requests a permit; at most one attempt for each key obtains it. An attempt
+   * that ends "not run" while its write may still take effect is withdrawn in
+   * the background, so that it does not block the key.
    */
   async begin(
     run: IRunKey,
     request: IRunRequest,
   ): Promise<Result<RunStart, IRefusal>> {
-    const mine = this.#open(run, request);
+    const mine = this.#createOpenRecord(run, request);
     let expectedVersion: number | null = null;
     let isInDoubt = false;
     let detail = "the run record could not be created";
-    for (let tries = 0; tries < BEGIN_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAXIMUM_BEGIN_WRITES; attempt++) {
       const written = await this.#write(mine, expectedVersion);
       if (written.isOk()) {
         const permit = { record: mine, version: written.value };
         return Ok({ kind: "run", permit });
       }
       isInDoubt ||= written.error.kind === WriteFailureKind.Unknown;
-      const step = await this.#afterFailure(mine, written.error);
+      const step = await this.#handleWriteFailure(mine, written.error);
       if (step.kind === "start") {
         return step.start;
       }
@@ -132,34 +135,34 @@
       expectedVersion = step.expectedVersion;
     }
     if (isInDoubt) {
-      this.#settler.withdraw(mine);
+      this.#retryQueue.withdraw(mine);
     }
-    return Err(platformAway(detail));
+    return Err(platformUnavailable(detail));
   }
 
   /**
-   * Records how the call ended. One write is waited for; if it fails, the
-   * caller is not kept waiting and the rest is done in the background.
+   * Records how the call ended. Only the first write is awaited; if it fails,
+   * it is retried in the background so that the caller need not wait.
    */
   async finish(
     permit: IRunPermit,
     state: RunState,
     answer: unknown,
   ): Promise<void> {
-    const kept = this.#keepable(answer);
-    const record: RunRecord = { ...permit.record, state, ...kept };
+    const storable = this.#storableAnswer(answer);
+    const record: RunRecord = { ...permit.record, state, ...storable };
     const written = await this.#write(record, permit.version);
     if (written.isErr() && written.error.kind !== WriteFailureKind.Conflict) {
-      this.#settler.finish(record, permit.version);
+      this.#retryQueue.finish(record, permit.version);
     }
   }
 
-  /** Waits, within a bound, until all that is known is recorded. */
+  /** Waits, up to a limit, for pending records to be written. */
   async close(): Promise<void> {
-    await this.#settler.drain(DRAIN_BOUND);
+    await this.#retryQueue.drain(DRAIN_TIMEOUT);
   }
 
-  #open(run: IRunKey, request: IRunRequest): RunRecord {
+  #createOpenRecord(run: IRunKey, request: IRunRequest): RunRecord {
     const { clock, random } = this.#ports;
     const { bodyDigest, requestId, openFor } = request;
     const createdAt = clock.calendar();
@@ -172,11 +175,14 @@
     });
   }
 
-  async #afterFailure(mine: RunRecord, failure: IWriteFailure): Promise<Step> {
+  async #handleWriteFailure(
+    mine: RunRecord,
+    failure: IWriteFailure,
+  ): Promise<Step> {
     if (failure.kind === WriteFailureKind.NotApplied) {
       return { kind: "stuck", detail: failure.detail };
     }
-    const found = await this.#find(mine);
+    const found = await this.#readStored(mine);
     if (found.isErr()) {
       return { kind: "stuck", detail: found.error.detail };
     }
@@ -184,7 +190,7 @@
       return { kind: "again", expectedVersion: null };
     }
     if (found.value === "unreadable") {
-      const detail = "the run record under this key does not parse";
+      const detail = "the run record stored under this key is invalid";
       const start = Err(outcomeUnknown(Reason.OutcomeUnknown, detail));
       return { kind: "start", start };
     }
@@ -192,13 +198,16 @@
     const finding = judgeFound(record, mine, this.#ports.clock.calendar());
     return finding === Finding.MayTakeOver
       ? { kind: "again", expectedVersion: version }
-      : { kind: "start", start: answerFound(finding, { record, version }) };
+      : {
+          kind: "start",
+          start: startFromFinding(finding, { record, version }),
+        };
   }
 
-  /** Reads back what stands under the key. */
-  async #find(
+  /** Reads the record stored under the key. */
+  async #readStored(
     mine: RunRecord,
-  ): Promise<Result<Found | "unreadable", ICallFailure>> {
+  ): Promise<Result<StoredRecord | "unreadable", ICallFailure>> {
     const { kind, name } = locationOf(mine);
     const read = await this.#ports.platform.read(kind, name);
     return read.map((object) => {
@@ -215,16 +224,16 @@
     record: RunRecord,
     expectedVersion: number | null,
   ): Promise<Result<number, IWriteFailure>> {
-    const place = locationOf(record);
-    const write = { ...place, value: record, expectedVersion };
+    const location = locationOf(record);
+    const write = { ...location, value: record, expectedVersion };
     return this.#ports.platform.write(write);
   }
 
-  /** The answer, or what stands for one that the platform cannot hold. */
-  #keepable(answer: unknown): Pick<RunRecord, "answer" | "omitted"> {
+  /** The answer, or its digest if it is too large for the platform. */
+  #storableAnswer(answer: unknown): Pick<RunRecord, "answer" | "omitted"> {
     const text = JSON.stringify(answer) ?? "null";
     const bytes = new TextEncoder().encode(text).length;
-    if (bytes <= LARGEST_KEPT_ANSWER) {
+    if (bytes <= LARGEST_STORED_ANSWER) {
       return { answer, omitted: null };
     }
     const digest = this.#ports.digest(text);
@@ -232,7 +241,7 @@
   }
 }
 
-function answerFound(
+function startFromFinding(
   finding: Exclude<Finding, Finding.MayTakeOver>,
   permit: IRunPermit,
 ): Result<RunStart, IRefusal> {
@@ -247,19 +256,19 @@
       return Err(notRun(Reason.KeyReused, detail));
     }
     case Finding.InProgress: {
-      const detail = "a call with this key is in progress; ask again for it";
+      const detail = "a call with this key is in progress; retry later";
       const retryAfter = IN_PROGRESS_RETRY_AFTER;
       return Err(outcomeUnknown(Reason.InProgress, detail, retryAfter));
     }
     case Finding.Unknown: {
       const detail =
-        "a call with this key may have run; look at the service whether it " +
+        "a call with this key may have run; check at the service whether it " +
         "did, and use a new key only if it did not";
       return Err(outcomeUnknown(Reason.OutcomeUnknown, detail));
     }
   }
 }
 
-function platformAway(detail: string): IRefusal {
+function platformUnavailable(detail: string): IRefusal {
   return notRun(Reason.PlatformUnavailable, detail, PLATFORM_RETRY_AFTER);
 }
--- a/src/common/services/run_record_service_test.ts
+++ b/src/common/services/run_record_service_test.ts
@@ -1,6 +1,6 @@
 /**
- * Several daemons race for one key over a store that loses answers and
- * delays writes, in every order that the scheduler finds.
+ * Several daemons compete for one key on a store that loses answers and delays
+ * writes, in random orders drawn by fast-check's scheduler.
  */
 import { expect } from "chai";
 import fc from "fast-check";
@@ -18,24 +18,24 @@
 
 const RUN = { account: "desk", operation: "delivery-api/publish", key: "k" };
 
-/** What happens to one call of the store. */
+/** Fault injected into one call to the store. */
 enum Fault {
   None = "none",
-  /** Nothing is applied, and this is known. */
+  /** The call is not applied, and the caller knows it. */
   NotApplied = "not_applied",
-  /** It is applied, and the answer is lost. */
+  /** The call is applied, but its answer is lost. */
   LostAnswer = "lost_answer",
-  /** It is given up on, and is applied later or never before the end. */
+  /** The call times out, and is applied later or not before the end. */
   Late = "late",
 }
 
-/** How a run that got its permit ends. */
+/** How a run that obtained a permit ends. */
 type Ending = RunState;
 
 const NO_LOG = { info: () => {}, warn: () => {}, error: () => {} };
 const NO_METRICS = { count: () => {}, observe: () => {}, gauge: () => {} };
 
-/** A platform whose every step waits for its turn in the schedule. */
+/** A platform whose every step is ordered by the scheduler. */
 class ScheduledPlatform {
   readonly #store = new ObjectStore();
   readonly #scheduler: Scheduler;
@@ -46,8 +46,8 @@
     this.#faults = [...faults];
   }
 
-  /** No call meets a fault from now on. */
-  heal(): void {
+  /** Removes the remaining faults. */
+  clearFaults(): void {
     this.#faults.length = 0;
   }
 
@@ -71,7 +71,7 @@
     const fault = this.#faults.shift() ?? Fault.None;
     if (fault === Fault.Late) {
       void this.#turn("late write").then(() => this.#apply(write));
-      await this.#turn("write given up");
+      await this.#turn("write timed out");
       return Err({ kind: WriteFailureKind.Unknown, detail: fault });
     }
     await this.#turn("write");
@@ -97,8 +97,8 @@
   }
 }
 
-/** One daemon's record service on the shared store. */
-function serviceOn(
+/** Creates one daemon's record service on the shared store. */
+function createService(
   platform: ScheduledPlatform,
   scheduler: Scheduler,
   daemon: number,
@@ -124,34 +124,34 @@
 
 const request = { bodyDigest: "d", requestId: "r", openFor: 1_000 };
 
-/** What came of all tries at the key. */
-class Tally {
+/** Results of all attempts with the key. */
+class Results {
   acted = 0;
   permits = 0;
   crashed = 0;
   answers = new Set<unknown>();
 }
 
-async function tryOnce(
+async function attemptOnce(
   service: RunRecordService,
   ending: Ending,
-  tally: Tally,
+  results: Results,
 ): Promise<void> {
   const start = await service.begin(RUN, request);
   if (start.isErr()) {
     return;
   }
   if (start.value.kind === "recorded") {
-    tally.answers.add(start.value.answer);
+    results.answers.add(start.value.answer);
     return;
   }
-  tally.permits += 1;
-  tally.acted += ending === RunState.NotRun ? 0 : 1;
+  results.permits += 1;
+  results.acted += ending === RunState.NotRun ? 0 : 1;
   if (ending === RunState.Open) {
-    tally.crashed += 1;
+    results.crashed += 1;
     return;
   }
-  const answer = ending === RunState.Completed ? tally.permits : null;
+  const answer = ending === RunState.Completed ? results.permits : null;
   await service.finish(start.value.permit, ending, answer);
 }
 
@@ -159,52 +159,58 @@
   fc.constantFrom(Fault.None, Fault.None, ...Object.values(Fault)),
   { maxLength: 16 },
 );
-/** A run left open is one whose daemon died. */
+/** `Open` stands for a run whose daemon died. */
 const endings = fc.array(fc.constantFrom(...Object.values(RunState)), {
   minLength: 2,
   maxLength: 6,
 });
 
-describe("rights to run under one key", () => {
-  it(`go to at most one try that acts (seed ${SEED})`, async () => {
+describe("RunRecordService", () => {
+  // Guards against a call that runs twice under one idempotency key.
+  it(`lets at most one attempt act for a key (seed ${SEED})`, async () => {
     const property = fc.asyncProperty(
       fc.scheduler(),
       faults,
       endings,
       async (scheduler, planned, ends) => {
         const platform = new ScheduledPlatform(scheduler, planned);
-        const tally = new Tally();
-        const tries = ends.map((ending, index) => {
+        const results = new Results();
+        const attempted = ends.map((ending, index) => {
           const daemon = index % 3;
-          const service = serviceOn(platform, scheduler, index * 10 + daemon);
-          return tryOnce(service, ending, tally);
+          const service = createService(
+            platform,
+            scheduler,
+            index * 10 + daemon,
+          );
+          return attemptOnce(service, ending, results);
         });
-        await scheduler.waitFor(Promise.all(tries));
-        expect(tally.acted).to.be.at.most(1);
-        expect(tally.answers.size).to.be.at.most(1);
+        await scheduler.waitFor(Promise.all(attempted));
+        expect(results.acted).to.be.at.most(1);
+        expect(results.answers.size).to.be.at.most(1);
       },
     );
     await fc.assert(property, { seed: SEED, numRuns: SCHEDULES });
   });
 
-  // Without withdrawal a key would stay blocked by a try that never ran.
-  it(`are free again when no try has acted (seed ${SEED})`, async () => {
+  // Guards against a key that stays blocked by an attempt that never ran,
+  // as it would without withdrawal.
+  it(`frees the key when no attempt has acted (seed ${SEED})`, async () => {
     const property = fc.asyncProperty(
       fc.scheduler(),
       faults,
       async (scheduler, planned) => {
         const platform = new ScheduledPlatform(scheduler, planned);
-        const tally = new Tally();
-        const tries = [1, 2, 3].map((daemon) => {
-          const service = serviceOn(platform, scheduler, daemon);
-          return tryOnce(service, RunState.NotRun, tally);
+        const results = new Results();
+        const attempted = [1, 2, 3].map((daemon) => {
+          const service = createService(platform, scheduler, daemon);
+          return attemptOnce(service, RunState.NotRun, results);
         });
-        await scheduler.waitFor(Promise.all(tries));
+        await scheduler.waitFor(Promise.all(attempted));
         await scheduler.waitIdle();
-        platform.heal();
-        const last = serviceOn(platform, scheduler, 9);
-        const asked = last.begin(RUN, request);
-        const start = await scheduler.waitFor(asked);
+        platform.clearFaults();
+        const last = createService(platform, scheduler, 9);
+        const pending = last.begin(RUN, request);
+        const start = await scheduler.waitFor(pending);
         expect(start.isOk() && start.value.kind).to.equal("run");
       },
     );
--- a/src/common/services/run_record_sweeper.ts
+++ b/src/common/services/run_record_sweeper.ts
@@ -1,6 +1,6 @@
 /**
- * Removes run records whose retention has passed, by bounded work. Without it
- * the platform would hold every call ever made.
+ * Removes run records past their retention, a limited number at a time.
+ * Without it, the platform would keep a record of every call ever made.
  */
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
@@ -9,32 +9,32 @@
 import type { IClock, ILog, IPlatform, IRandom } from "./services.ts";
 
 /**
- * How long a record stands, milliseconds: two days. Callers repeat for at most
- * one day (docs/PROTOCOLS.md), so a calendar clock that is wrong by less than
- * a day removes no record that a caller may still ask for.
+ * How long a record is kept, milliseconds: two days. Callers retry for at most
+ * one day (docs/PROTOCOLS.md), so a wall clock that is wrong by less than a day
+ * removes no record that a caller may still need.
  */
 const RETENTION = 172_800_000;
 
 /**
- * How often one bucket is looked at by each zone, milliseconds: all 1,024
- * buckets in about an hour, 0.3 lists a second a zone however many daemons.
+ * How often each zone lists one bucket, milliseconds: 1,024 buckets in about
+ * an hour, 0.3 lists a second for each zone whatever its number of daemons.
  */
-const SWEEP_EVERY = 3_500;
+const SWEEP_INTERVAL = 3_500;
 
-/** Records removed in one round, one after another. */
-const LARGEST_ROUND = 100;
+/** Records removed at most in one sweep, one after another. */
+const MAXIMUM_REMOVALS = 100;
 
-/** What the sweeper works with. */
+/** Dependencies of {@link RunRecordSweeper}. */
 export interface IRunRecordSweeperPorts {
   readonly platform: IPlatform;
   readonly clock: IClock;
   readonly random: IRandom;
   readonly log: ILog;
-  /** Whether this daemon has the duty; two at once do no harm. */
+  /** Whether this daemon is to sweep; two at once do no harm. */
   readonly isChosen: () => boolean;
 }
 
-/** Looks at one random bucket at a time. */
+/** Sweeps one random bucket at a time. */
 export class RunRecordSweeper implements IDisposable {
   readonly #ports: IRunRecordSweeperPorts;
   readonly #owned = new DisposableStore();
@@ -45,14 +45,16 @@
   }
 
   start(): void {
-    this.#owned.add(this.#ports.clock.every(SWEEP_EVERY, () => this.#tick()));
+    this.#owned.add(
+      this.#ports.clock.every(SWEEP_INTERVAL, () => this.#tick()),
+    );
   }
 
   dispose(): void {
     this.#owned.dispose();
   }
 
-  /** Removes what is too old in a bucket; returns how many were removed. */
+  /** Removes expired records from a bucket; returns how many were removed. */
   async sweep(bucket: number): Promise<number> {
     const { platform, clock } = this.#ports;
     const kind = kindOfBucket(bucket);
@@ -64,11 +66,11 @@
     for (const { name, value, version } of listed.value.objects) {
       const record = parseRunRecord(value);
       const age = clock.calendar() - (record?.createdAt ?? Infinity);
-      if (age < RETENTION || removed >= LARGEST_ROUND) {
+      if (age < RETENTION || removed >= MAXIMUM_REMOVALS) {
         continue;
       }
-      const gone = await platform.remove(kind, name, version);
-      removed += gone.isOk() ? 1 : 0;
+      const removal = await platform.remove(kind, name, version);
+      removed += removal.isOk() ? 1 : 0;
     }
     return removed;
   }
@@ -76,11 +78,11 @@
   #tick(): void {
     const { isChosen, random } = this.#ports;
     if (isChosen() && !this.#isSweeping) {
-      void this.#sweepOne(Math.floor(random.next() * RUN_BUCKETS));
+      void this.#sweepAndLog(Math.floor(random.next() * RUN_BUCKETS));
     }
   }
 
-  async #sweepOne(bucket: number): Promise<void> {
+  async #sweepAndLog(bucket: number): Promise<void> {
     this.#isSweeping = true;
     const removed = await this.sweep(bucket);
     this.#isSweeping = false;
--- a/src/common/services/run_record_sweeper_test.ts
+++ b/src/common/services/run_record_sweeper_test.ts
@@ -10,13 +10,13 @@
 
 const NO_LOG = { info: () => {}, warn: () => {}, error: () => {} };
 
-function recordMadeAt(createdAt: number, key: string) {
+function recordCreatedAt(createdAt: number, key: string) {
   const run = { account: "desk", operation: "delivery-api/publish", key };
   const details = { bodyDigest: "d", attempt: "a", requestId: "r" };
   return openRecord(run, { ...details, createdAt, openUntil: createdAt });
 }
 
-describe("removing old run records", () => {
+describe("RunRecordSweeper", () => {
   async function sweep(values: readonly unknown[]): Promise<string[]> {
     const removed: string[] = [];
     const objects = values.map((value, index) => {
@@ -45,22 +45,25 @@
     return removed;
   }
 
-  // Removed too early, a key would run a second time on a caller's retry.
-  it("keeps what a caller may still ask for, and what it cannot read", async () => {
-    const young = recordMadeAt(NOW - 47 * HOUR, "young");
-    const old = recordMadeAt(NOW - 49 * HOUR, "old");
+  // Guards against removing a record too early: a caller's retry would then
+  // run the call a second time.
+  it("keeps records within retention and unreadable ones", async () => {
+    const young = recordCreatedAt(NOW - 47 * HOUR, "young");
+    const old = recordCreatedAt(NOW - 49 * HOUR, "old");
     expect(await sweep([young, old, { edited: "by hand" }])).to.eql(["1"]);
   });
 
-  it("removes at most a hundred in one round", async () => {
-    const old = recordMadeAt(0, "old");
+  // Guards against a sweep of unbounded length.
+  it("removes at most a hundred records in one sweep", async () => {
+    const old = recordCreatedAt(0, "old");
     expect(await sweep(Array(150).fill(old))).to.have.length(100);
   });
 
-  it("spreads keys over many kinds", () => {
+  // Guards against listing more than a small part of all records at once.
+  it("distributes keys over many kinds", () => {
     const kinds = new Set<string>();
     for (let index = 0; index < 1_000; index++) {
-      kinds.add(locationOf(recordMadeAt(0, `item-${index}`)).kind);
+      kinds.add(locationOf(recordCreatedAt(0, `item-${index}`)).kind);
     }
     expect(kinds.size).to.be.greaterThan(500);
   });
