--- a/src/common/services/domain_controller.ts
+++ b/src/common/services/domain_controller.ts
@@ -1,4 +1,4 @@
-/** Drives one fabric domain's lease, forms its groups and gives orders. */
+/** Maintains one fabric domain's lease, plans its groups and sends orders. */
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
 import { DomainLease } from "../groups/domain_lease.ts";
@@ -37,21 +37,20 @@
 } from "./services.ts";
 import type { TargetDirectory } from "./target_directory.ts";
 
-/** How often the lease is looked at, milliseconds. */
-const TICK = 100;
+/** How often lease, members and groups are checked, milliseconds. */
+const TICK_INTERVAL = 100;
 
 /**
- * Daemons of a zone that read a domain's record often. Three, so that two are
- * left to take over from a holder that dies. Were all to read as often, the
- * 37 daemons of a zone at the target size would take the platform's whole
- * rate of reads: see docs/DESIGN.md.
+ * Daemons of a zone that read a domain's record often. Three, so that two can
+ * take over from a holder that dies. If all did, the 37 daemons of a zone at
+ * the target size would use up the platform's read rate: see docs/DESIGN.md.
  */
 const OBSERVERS = 3;
 
-/** How many times less often the others read. */
-const SELDOM = 10;
+/** How many times less often the other daemons read it. */
+const NON_OBSERVER_FACTOR = 10;
 
-/** What a domain service works with. */
+/** Dependencies of {@link DomainController}. */
 export interface IDomainPorts {
   readonly platform: IPlatform;
   readonly targets: ITargets;
@@ -61,7 +60,7 @@
   readonly live: ILiveDaemons;
 }
 
-/** Settings of a domain service. */
+/** Settings of a {@link DomainController}. */
 export interface IDomainOptions {
   readonly daemon: DaemonId;
   readonly domain: DomainName;
@@ -70,18 +69,19 @@
   readonly watch: IMemberMonitorPolicy;
   /** How often an observer reads the record, milliseconds. */
   readonly observeEvery: number;
+  /** Groups that the domain should have. */
   readonly wanted: () => readonly IWantedGroups[];
 }
 
-/** One fabric domain, as one daemon sees and, when it holds it, runs it. */
+/** Observes one fabric domain; manages its groups while holding its lease. */
 export class DomainController implements IDisposable {
   readonly #ports: IDomainPorts;
   readonly #options: IDomainOptions;
   readonly #lease: DomainLease;
   readonly #owned = new DisposableStore();
-  readonly #watch: MemberMonitor;
+  readonly #memberMonitor: MemberMonitor;
   readonly #orders: OrderSender;
-  #lastRead = Number.NEGATIVE_INFINITY;
+  #lastReadAt = Number.NEGATIVE_INFINITY;
   #isReading = false;
   #isClosing = false;
 
@@ -93,7 +93,7 @@
       options.domain,
       options.lease,
     );
-    this.#watch = new MemberMonitor(options.watch);
+    this.#memberMonitor = new MemberMonitor(options.watch);
     this.#orders = new OrderSender(ports, () =>
       this.#lease.mayOrder(ports.clock.now()),
     );
@@ -114,14 +114,14 @@
 
   start(): void {
     void this.#read();
-    this.#owned.add(this.#ports.clock.every(TICK, () => this.#tick()));
+    this.#owned.add(this.#ports.clock.every(TICK_INTERVAL, () => this.#tick()));
   }
 
   /**
-   * Gives the lease back by a write, and stops. The next holder need not wait
-   * for the lease's end, so no order of this one may be on its way any more:
-   * one that landed after the next holder's would undo it at an engine that
-   * ignores fencing numbers.
+   * Releases the lease by a write, and stops. The next holder need not wait for
+   * the lease to expire, so all orders must have been settled first: one that
+   * arrived after the next holder's order would override it at an engine that
+   * ignores fencing tokens.
    */
   async close(): Promise<void> {
     this.#isClosing = true;
@@ -138,37 +138,37 @@
   #tick(): void {
     const now = this.#ports.clock.now();
     this.#performAll(this.#lease.tick(now));
-    const view = this.#view(now);
-    this.#watch.update(view.instances, view.reports, now);
+    const view = this.#formationView(now);
+    this.#memberMonitor.update(view.instances, view.reports, now);
     if (this.#isReadDue(view)) {
       void this.#read();
     }
     if (!this.#isClosing && this.#lease.mayOrder(now)) {
-      this.#govern(now);
+      this.#reconcileGroups(now);
     }
   }
 
   #isReadDue(view: IFormationView): boolean {
     const { observeEvery } = this.#options;
-    const elapsed = view.now - this.#lastRead;
+    const elapsed = view.now - this.#lastReadAt;
     if (elapsed < observeEvery) {
       return false;
     }
     const duty = `observe ${this.domain}`;
     return (
-      elapsed >= observeEvery * SELDOM ||
+      elapsed >= observeEvery * NON_OBSERVER_FACTOR ||
       this.record === null ||
       isRecordStale(this.record, view) ||
       this.#ports.live.isChosen(duty, OBSERVERS)
     );
   }
 
-  #govern(now: number): void {
+  #reconcileGroups(now: number): void {
     const record = this.record;
     if (record === null) {
       return;
     }
-    const view = this.#view(now);
+    const view = this.#formationView(now);
     const policy = this.#options.formation;
     const wanted = this.#options.wanted();
     const next = planGroupChange(record, wanted, view, policy);
@@ -181,13 +181,19 @@
     }
   }
 
-  #view(now: number): IFormationView {
+  #formationView(now: number): IFormationView {
     const { instances, reports } = this.#ports.directory;
-    const here = [...instances.values()].filter(
+    const domainInstances = [...instances.values()].filter(
       (instance) => instance.domain === this.domain && instance.service === "",
     );
     const { orderedAt } = this.#orders;
-    return { instances: here, reports, now, orderedAt, monitor: this.#watch };
+    return {
+      instances: domainInstances,
+      reports,
+      now,
+      orderedAt,
+      monitor: this.#memberMonitor,
+    };
   }
 
   #performAll(actions: readonly LeaseAction[]): void {
@@ -229,13 +235,19 @@
       );
       return;
     }
-    const actions = this.#settle(written.error.kind, record.attempt);
+    const actions = this.#handleWriteFailure(
+      written.error.kind,
+      record.attempt,
+    );
     if (!this.#isClosing) {
       this.#performAll(actions);
     }
   }
 
-  #settle(failure: WriteFailureKind, attempt: string): readonly LeaseAction[] {
+  #handleWriteFailure(
+    failure: WriteFailureKind,
+    attempt: string,
+  ): readonly LeaseAction[] {
     switch (failure) {
       case WriteFailureKind.Conflict:
         return this.#lease.handleWriteConflict(attempt);
@@ -251,14 +263,14 @@
       return;
     }
     this.#isReading = true;
-    this.#lastRead = this.#ports.clock.now();
+    this.#lastReadAt = this.#ports.clock.now();
     const found = await this.#ports.platform.read(DOMAIN_KIND, this.domain);
     this.#isReading = false;
     if (found.isErr()) {
       return;
     }
     const object = found.value.isSome() ? found.value.value : null;
-    const seen = object === null ? null : this.#check(object);
+    const seen = object === null ? null : this.#parseRecord(object);
     if (object !== null && seen === null) {
       return;
     }
@@ -266,7 +278,7 @@
     this.#performAll(this.#lease.observe(seen, now));
   }
 
-  #check(object: IPlatformObject): IVersionedRecord | null {
+  #parseRecord(object: IPlatformObject): IVersionedRecord | null {
     const checked = checkDomainRecord(object.name, object.value);
     if (checked.isOk()) {
       return { version: object.version, record: checked.value };
--- a/src/common/services/group_directory.ts
+++ b/src/common/services/group_directory.ts
@@ -1,4 +1,4 @@
-/** The replica groups of this zone, and which of them may serve now. */
+/** Replica groups and plain targets of this zone, and which can serve now. */
 import { ServiceScheduler } from "../decisions/service_scheduler.ts";
 import type {
   ITargetsUpdate,
@@ -17,19 +17,19 @@
 import type { ICallerRequest } from "./types.ts";
 import { workOf } from "./work_of.ts";
 
-/** A replica group or plain target that a request can be sent to. */
+/** A replica group or plain target chosen for a request. */
 export interface IChosenTarget {
-  /** Of the group, or of the plain target's instance. */
+  /** Id of the group, or of the plain target's instance. */
   readonly id: string;
   readonly address: string;
   /** Null for a plain target. */
   readonly group: IReplicaGroup | null;
   readonly service: ServiceName;
-  /** What it was chosen for. */
+  /** The request's work that it was chosen for. */
   readonly work: IWorkItem;
 }
 
-/** What the directory reads. */
+/** Dependencies of {@link GroupDirectory}. */
 export interface IGroupSources {
   readonly targets: TargetDirectory;
   readonly domains: () => Iterable<DomainController>;
@@ -38,29 +38,29 @@
   readonly live: ILiveDaemons;
 }
 
-/** Where a service can be served now. */
+/** A group's first member or a plain target that can serve now. */
 interface IServableTarget {
   readonly instance: IInstance;
   readonly group: IReplicaGroup | null;
 }
 
-/** Finds places to send requests to, and tells the decisions of them. */
+/** Chooses targets for requests and keeps the schedulers up to date on them. */
 export class GroupDirectory {
   readonly #sources: IGroupSources;
   readonly #freshness: number;
   readonly #schedulers = new Map<ServiceName, ServiceScheduler>();
-  readonly #uses = new Map<IChosenTarget, ITrackedRequest>();
+  readonly #inUse = new Map<IChosenTarget, ITrackedRequest>();
 
   constructor(sources: IGroupSources, freshness: number) {
     this.#sources = sources;
     this.#freshness = freshness;
   }
 
-  /** Every group of the zone with whether it may serve now. */
+  /** Every group of the zone, and whether it is complete and may serve. */
   groups(): readonly { group: IReplicaGroup; isComplete: boolean }[] {
     const { domains, targets } = this.#sources;
     const { instances, reports } = targets;
-    const view = { instances, reports, ...this.#age };
+    const view = { instances, reports, ...this.#ageLimits };
     const found = [];
     for (const domain of domains()) {
       for (const group of domain.record?.groups ?? []) {
@@ -70,16 +70,16 @@
     return found;
   }
 
-  /** The decisions of a service; its waiting work is kept there. */
+  /** The scheduler of a service, which holds its waiting work. */
   schedulerOf(service: ServiceName): ServiceScheduler {
-    const known = this.#schedulers.get(service) ?? new ServiceScheduler();
-    this.#schedulers.set(service, known);
-    return known;
+    const scheduler = this.#schedulers.get(service) ?? new ServiceScheduler();
+    this.#schedulers.set(service, scheduler);
+    return scheduler;
   }
 
-  /** Tells a service's decisions what can serve now; false if nothing can. */
+  /** Updates a service's scheduler; false if no target can serve now. */
   refresh(service: ServiceName): boolean {
-    return this.#refresh(service, this.#servedBy(service)) > 0;
+    return this.#refresh(service, this.#findServable(service)) > 0;
   }
 
   /** The best group for a request, or null. */
@@ -98,32 +98,32 @@
     return this.#choose(request, avoid);
   }
 
-  /** Counts a request in flight at a place until the result is called. */
-  beginRequest(place: IChosenTarget): () => void {
+  /** Counts a request in flight until the returned function is called. */
+  beginRequest(target: IChosenTarget): () => void {
     const { clock } = this.#sources;
-    const { targets } = this.schedulerOf(place.service);
-    const use = targets.startRequest(place.id, place.work, clock.now());
-    this.#uses.set(place, use);
+    const { targets } = this.schedulerOf(target.service);
+    const use = targets.startRequest(target.id, target.work, clock.now());
+    this.#inUse.set(target, use);
     return () => {
       targets.endRequest(use, clock.now());
-      this.#uses.delete(place);
+      this.#inUse.delete(target);
     };
   }
 
-  /** Tokens, or the answer of a plain call, came from a place in use. */
-  recordTokens(place: IChosenTarget, tokens: number): void {
-    const use = this.#uses.get(place);
+  /** Records tokens received from a target; 1 for a plain call's answer. */
+  recordTokens(target: IChosenTarget, tokens: number): void {
+    const use = this.#inUse.get(target);
     if (use !== undefined && tokens > 0) {
-      const { targets } = this.schedulerOf(place.service);
+      const { targets } = this.schedulerOf(target.service);
       targets.recordTokens(use, tokens, this.#sources.clock.now());
     }
   }
 
-  /** The caller has taken what came; more is read from now on. */
-  recordReadResumed(place: IChosenTarget): void {
-    const use = this.#uses.get(place);
+  /** Records that the caller has consumed the tokens and reading goes on. */
+  recordReadResumed(target: IChosenTarget): void {
+    const use = this.#inUse.get(target);
     if (use !== undefined) {
-      const { targets } = this.schedulerOf(place.service);
+      const { targets } = this.schedulerOf(target.service);
       targets.resumeRequest(use, this.#sources.clock.now());
     }
   }
@@ -133,13 +133,13 @@
     avoid: ReadonlySet<string>,
   ): IChosenTarget | null {
     const { name } = request.service;
-    const served = this.#servedBy(name);
-    this.#refresh(name, served);
+    const servable = this.#findServable(name);
+    this.#refresh(name, servable);
     const work = workOf(request);
     const { targets } = this.schedulerOf(name);
     const random = () => this.#sources.random.next();
     const id = targets.choose({ work, avoid }, random);
-    const chosen = id === null ? undefined : served.get(id);
+    const chosen = id === null ? undefined : servable.get(id);
     if (id === null || chosen === undefined) {
       return null;
     }
@@ -149,11 +149,11 @@
 
   #refresh(
     service: ServiceName,
-    served: ReadonlyMap<string, IServableTarget>,
+    servable: ReadonlyMap<string, IServableTarget>,
   ): number {
     const { clock, live } = this.#sources;
     const targets: ITargetLoadReport[] = [];
-    for (const [id, { instance }] of served) {
+    for (const [id, { instance }] of servable) {
       const seen = this.#sources.targets.reports.get(instance.id);
       if (seen !== undefined) {
         const { running, queued, lag } = seen.report;
@@ -166,24 +166,24 @@
     return targets.length;
   }
 
-  /** Groups and plain targets that serve it now, by the id of the place. */
-  #servedBy(service: ServiceName): ReadonlyMap<string, IServableTarget> {
-    const served = new Map<string, IServableTarget>();
+  /** Groups and plain targets that can serve it now, by target id. */
+  #findServable(service: ServiceName): ReadonlyMap<string, IServableTarget> {
+    const servable = new Map<string, IServableTarget>();
     const { instances, reports } = this.#sources.targets;
     for (const { group, isComplete } of this.groups()) {
       const instance = instances.get(group.members[0] ?? "");
       if (group.service === service && isComplete && instance) {
-        served.set(group.id, { instance, group });
+        servable.set(group.id, { instance, group });
       }
     }
     for (const instance of instances.values()) {
       const isPlain = instance.kind === ServiceKind.Plain;
-      const isOurs = isPlain && instance.service === service;
-      if (isOurs && this.#isReady(instance, reports.get(instance.id))) {
-        served.set(instance.id, { instance, group: null });
+      const isOfService = isPlain && instance.service === service;
+      if (isOfService && this.#isReady(instance, reports.get(instance.id))) {
+        servable.set(instance.id, { instance, group: null });
       }
     }
-    return served;
+    return servable;
   }
 
   #isReady(instance: IInstance, seen: ISeenReport | undefined): boolean {
@@ -191,12 +191,12 @@
       seen !== undefined &&
       instance.state === InstanceState.Live &&
       seen.report.state === TargetState.Ready &&
-      isFresh(seen, this.#age)
+      isFresh(seen, this.#ageLimits)
     );
   }
 
-  /** What the age of reports is judged by. */
-  get #age(): Pick<IPresenceView, "now" | "freshness" | "watchedSince"> {
+  /** What {@link isFresh} needs to judge the age of a report. */
+  get #ageLimits(): Pick<IPresenceView, "now" | "freshness" | "watchedSince"> {
     const { clock, targets } = this.#sources;
     return {
       now: clock.now(),
--- a/src/common/services/group_health.ts
+++ b/src/common/services/group_health.ts
@@ -1,4 +1,4 @@
-/** Which replica groups cannot serve, since when, and what that strands. */
+/** Tracks which replica groups cannot serve, and the instances they strand. */
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
 import type { IReplicaGroup } from "../groups/types.ts";
@@ -10,12 +10,12 @@
 import type { IClock, ILog, IMetrics } from "./services.ts";
 import type { TargetDirectory } from "./target_directory.ts";
 
-/** How often groups are looked at, milliseconds. */
-const LOOK_EVERY = 200;
+/** How often groups are checked, milliseconds. */
+const CHECK_INTERVAL = 200;
 
-const MILLISECONDS = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** What the health of groups is told by and to. */
+/** Dependencies of {@link GroupHealth}. */
 export interface IGroupHealthPorts {
   readonly groups: GroupDirectory;
   readonly directory: TargetDirectory;
@@ -25,49 +25,51 @@
   readonly alarms: Alarms;
 }
 
-/** Follows the groups of one zone, as this daemon sees them. */
+/** Monitors the groups of one zone, as this daemon sees them. */
 export class GroupHealth implements IDisposable {
   readonly #ports: IGroupHealthPorts;
   readonly #owned = new DisposableStore();
   readonly #downSince = new Map<GroupId, MonotonicTime>();
   readonly #downtime = new Map<ServiceName, number>();
-  #lastLook: MonotonicTime;
+  #lastCheckAt: MonotonicTime;
 
   constructor(ports: IGroupHealthPorts) {
     this.#ports = ports;
-    this.#lastLook = ports.clock.now();
+    this.#lastCheckAt = ports.clock.now();
   }
 
   start(): void {
-    this.#owned.add(this.#ports.clock.every(LOOK_EVERY, () => this.#look()));
+    this.#owned.add(
+      this.#ports.clock.every(CHECK_INTERVAL, () => this.#check()),
+    );
   }
 
   dispose(): void {
     this.#owned.dispose();
   }
 
-  /** Milliseconds for which a group could not serve; 0 when it can. */
+  /** Milliseconds since a group became unable to serve; 0 while it can. */
   downtimeOf(group: GroupId): number {
     const since = this.#downSince.get(group);
     return since === undefined ? 0 : this.#ports.clock.now() - since;
   }
 
-  /** Live engines that stand in no group. */
+  /** Live engines that are in no group. */
   get spares(): readonly string[] {
-    const taken = new Set(
+    const members = new Set(
       this.#ports.groups.groups().flatMap(({ group }) => group.members),
     );
-    return this.#liveEngines().filter((engine) => !taken.has(engine));
+    return this.#liveEngines().filter((engine) => !members.has(engine));
   }
 
-  #look(): void {
+  #check(): void {
     const { clock } = this.#ports;
     const now = clock.now();
-    const elapsed = now - this.#lastLook;
-    this.#lastLook = now;
+    const elapsed = now - this.#lastCheckAt;
+    this.#lastCheckAt = now;
     const groups = this.#ports.groups.groups();
     for (const { group, isComplete } of groups) {
-      this.#follow(group, isComplete, elapsed);
+      this.#updateGroup(group, isComplete, elapsed);
     }
     const known = new Set(groups.map(({ group }) => group.id));
     for (const id of this.#downSince.keys()) {
@@ -75,10 +77,14 @@
         this.#downSince.delete(id);
       }
     }
-    this.#tell(groups);
+    this.#publish(groups);
   }
 
-  #follow(group: IReplicaGroup, isComplete: boolean, elapsed: number): void {
+  #updateGroup(
+    group: IReplicaGroup,
+    isComplete: boolean,
+    elapsed: number,
+  ): void {
     const { clock, log } = this.#ports;
     const since = this.#downSince.get(group.id);
     const { id, service, generation } = group;
@@ -97,12 +103,12 @@
     }
   }
 
-  #tell(
+  #publish(
     groups: readonly { group: IReplicaGroup; isComplete: boolean }[],
   ): void {
     const { alarms, metrics } = this.#ports;
     for (const [service, downtime] of this.#downtime) {
-      const seconds = downtime / MILLISECONDS;
+      const seconds = downtime / MILLISECONDS_PER_SECOND;
       metrics.gauge("group_downtime_seconds", seconds, { service });
     }
     const serving = new Set(
--- a/src/common/services/order_sender.ts
+++ b/src/common/services/order_sender.ts
@@ -1,30 +1,30 @@
 /**
- * Sends orders to engines: one at a time to each, under the lease only.
+ * Sends orders to engines: one at a time to each, only while the lease is held.
  *
- * An order that is on its way when its sender gives the lease up can land
- * after the next holder's, and an engine that ignores fencing numbers would
- * obey it. So it is known here when the last order can have landed.
+ * An order in flight when its sender releases the lease can arrive after the
+ * next holder's, and an engine that ignores fencing tokens would obey it. The
+ * sender therefore tracks until when its orders can still take effect.
  */
 import type { IAddressedOrder } from "../groups/orders.ts";
 import { CallFailureKind } from "../types.ts";
 import type { InstanceId, MonotonicTime } from "../types.ts";
 import type { IClock, ILog, ITargets } from "./services.ts";
 
-/** What orders are sent with. */
+/** Dependencies of {@link OrderSender}. */
 export interface IOrderSenderPorts {
   readonly targets: ITargets;
   readonly clock: IClock;
   readonly log: ILog;
 }
 
-/** The orders of one domain's holder. */
+/** Sends the orders of one domain's lease holder. */
 export class OrderSender {
   readonly #ports: IOrderSenderPorts;
   readonly #mayOrder: () => boolean;
-  readonly #sending = new Map<InstanceId, Promise<void>>();
+  readonly #inFlight = new Map<InstanceId, Promise<void>>();
   readonly #orderedAt = new Map<InstanceId, MonotonicTime>();
-  /** Until when an order whose answer was lost may still take effect. */
-  #landedBy = Number.NEGATIVE_INFINITY;
+  /** When orders whose answers were lost can no longer take effect. */
+  #mayTakeEffectUntil = Number.NEGATIVE_INFINITY;
 
   /** @param mayOrder - whether the lease covers an order sent now */
   constructor(ports: IOrderSenderPorts, mayOrder: () => boolean) {
@@ -32,30 +32,32 @@
     this.#mayOrder = mayOrder;
   }
 
-  /** When an order to each instance was last answered or given up. */
+  /** When the last order to each instance was answered or failed. */
   get orderedAt(): ReadonlyMap<InstanceId, MonotonicTime> {
     return this.#orderedAt;
   }
 
-  /** Sends an order, unless one to the same instance is on its way. */
+  /** Sends an order, unless one to the same instance is in flight. */
   send(addressed: IAddressedOrder): void {
     const { instance } = addressed;
-    if (this.#sending.has(instance)) {
+    if (this.#inFlight.has(instance)) {
       return;
     }
     const sending = this.#send(addressed).finally(() => {
-      this.#sending.delete(instance);
+      this.#inFlight.delete(instance);
     });
-    this.#sending.set(instance, sending);
+    this.#inFlight.set(instance, sending);
   }
 
-  /** Resolves once no order sent so far can take effect any more. */
+  /** Resolves once no order sent so far can still take effect. */
   async drain(): Promise<void> {
-    await Promise.all(this.#sending.values());
+    await Promise.all(this.#inFlight.values());
     const { clock } = this.#ports;
-    const left = this.#landedBy - clock.now();
-    if (left > 0) {
-      await new Promise<void>((resolve) => void clock.after(left, resolve));
+    const remaining = this.#mayTakeEffectUntil - clock.now();
+    if (remaining > 0) {
+      await new Promise<void>(
+        (resolve) => void clock.after(remaining, resolve),
+      );
     }
   }
 
@@ -68,7 +70,7 @@
     const now = clock.now();
     this.#orderedAt.set(instance, now);
     if (answer.isErr() && answer.error.kind === CallFailureKind.Unknown) {
-      this.#landedBy = now + order.validFor;
+      this.#mayTakeEffectUntil = now + order.validFor;
     }
     const { group, generation, epoch, kind } = order;
     const result = answer.isOk() ? "accepted" : answer.error.detail;
--- a/src/common/services/target_directory.ts
+++ b/src/common/services/target_directory.ts
@@ -1,7 +1,7 @@
 /**
- * What is known of the instances in this zone, and how fresh it is. Two daemons
- * poll each target and share what they saw by digests; a daemon that hears
- * nothing fresh of a target polls it itself.
+ * Instances of this zone and their latest reports. Two daemons poll each target
+ * and share the reports by digests; a daemon that receives no fresh report of a
+ * target polls it itself.
  */
 import { Backoff } from "../backoff.ts";
 import { DisposableStore } from "../disposable.ts";
@@ -23,27 +23,27 @@
   ITargets,
 } from "./services.ts";
 
-/** Daemons that poll one target: one may die unnoticed for a few seconds. */
-const POLLERS = 2;
+/** Daemons that poll each target: one may be dead for seconds unnoticed. */
+const POLLERS_PER_TARGET = 2;
 
-/** Longest pause after a failed reading, milliseconds. */
+/** Longest pause after a failed read of the instance list, milliseconds. */
 const LONGEST_RETRY_PAUSE = 15_000;
 
-/** Polls that a report may be old and still be shared as this daemon's. */
-const SHARED_FOR_POLLS = 3;
+/** Age up to which an own report is shared, in polling periods. */
+const SHARED_POLL_PERIODS = 3;
 
-/** How often and how long to ask, in milliseconds. */
+/** Intervals and timeouts, milliseconds. */
 export interface IDirectoryTiming {
   readonly pollEvery: number;
   readonly pollTimeout: number;
   readonly instancesEvery: number;
-  /** Age of a report from which a daemon polls a target of others itself. */
+  /** Age of a report from which a daemon polls a target assigned to others. */
   readonly pollOthersAfter: number;
-  /** A longer gap between two looks at the targets is this daemon's pause. */
+  /** A longer gap between two polling rounds counts as a process pause. */
   readonly pauseBound: number;
 }
 
-/** What the directory works with. */
+/** Dependencies of {@link TargetDirectory}. */
 export interface IDirectoryPorts {
   readonly platform: IPlatform;
   readonly targets: ITargets;
@@ -55,8 +55,8 @@
 
 /**
  * Reads the platform's list of instances and polls this daemon's share of the
- * zone's targets. The list lags, so a target's own silence or word counts for
- * more.
+ * zone's targets. The list lags, so a target's report, or the lack of one,
+ * takes precedence.
  */
 export class TargetDirectory implements IDisposable {
   readonly #platform: IPlatform;
@@ -69,10 +69,10 @@
   readonly #metrics: IMetrics;
   readonly #retry: Backoff;
   readonly #pauses: PauseWatch;
-  readonly #asking = new Set<InstanceId>();
-  /** Whether a target is this daemon's to poll; empty after a change. */
-  readonly #shares = new Map<InstanceId, boolean>();
-  readonly #own = new Map<InstanceId, ISeenReport>();
+  readonly #polling = new Set<InstanceId>();
+  /** Whether this daemon polls a target; cleared when live daemons change. */
+  readonly #assignments = new Map<InstanceId, boolean>();
+  readonly #ownPolls = new Map<InstanceId, ISeenReport>();
   #instances = new Map<InstanceId, IInstance>();
   readonly #reports = new Map<InstanceId, ISeenReport>();
 
@@ -93,7 +93,7 @@
     this.#pauses = new PauseWatch(options.timing.pauseBound);
   }
 
-  /** Instances of this zone by the platform's lagging list. */
+  /** Instances of this zone according to the platform's lagging list. */
   get instances(): ReadonlyMap<InstanceId, IInstance> {
     return this.#instances;
   }
@@ -103,25 +103,27 @@
     return this.#reports;
   }
 
-  /** Since when this daemon could have heard of all targets. */
+  /** Start of the current period without a process pause. */
   get watchedSince(): MonotonicTime {
     return this.#pauses.runningSince(this.#clock.now());
   }
 
-  /** Reports that this daemon polled itself lately, to be shared. */
+  /** Recent reports that this daemon polled itself, to be shared. */
   ownReports(): readonly ISeenReport[] {
     const { pollEvery, pollTimeout } = this.#timing;
     const oldest =
-      this.#clock.now() - SHARED_FOR_POLLS * pollEvery - pollTimeout;
-    return [...this.#own.values()].filter(({ seenAt }) => seenAt >= oldest);
+      this.#clock.now() - SHARED_POLL_PERIODS * pollEvery - pollTimeout;
+    return [...this.#ownPolls.values()].filter(
+      ({ seenAt }) => seenAt >= oldest,
+    );
   }
 
-  /** Takes reports that others polled; fresher ones stay. */
+  /** Merges reports; skips unlisted instances and reports not fresher. */
   mergeReports(reports: readonly ISeenReport[]): void {
     for (const seen of reports) {
       const id = seen.report.instance;
-      const held = this.#reports.get(id);
-      const isFresher = held === undefined || held.seenAt < seen.seenAt;
+      const known = this.#reports.get(id);
+      const isFresher = known === undefined || known.seenAt < seen.seenAt;
       if (isFresher && this.#instances.has(id)) {
         this.#reports.set(id, seen);
       }
@@ -129,24 +131,26 @@
   }
 
   start(): void {
-    void this.#follow();
+    void this.#followInstances();
     const { pollEvery } = this.#timing;
     this.#owned.add(this.#clock.every(pollEvery, () => this.#pollAll()));
-    this.#owned.add(this.#live.onChanged(() => this.#shares.clear()));
+    this.#owned.add(this.#live.onChanged(() => this.#assignments.clear()));
   }
 
   dispose(): void {
     this.#owned.dispose();
   }
 
-  /** Reads the list each period; after failures ever less often. */
-  async #follow(): Promise<void> {
+  /** Reads the list periodically, with back-off after failures. */
+  async #followInstances(): Promise<void> {
     const isRead = await this.#readInstances();
     if (isRead) {
       this.#retry.reset();
     }
     const pause = isRead ? this.#timing.instancesEvery : this.#retry.next();
-    this.#owned.add(this.#clock.after(pause, () => void this.#follow()));
+    this.#owned.add(
+      this.#clock.after(pause, () => void this.#followInstances()),
+    );
   }
 
   async #readInstances(): Promise<boolean> {
@@ -154,12 +158,16 @@
     if (listed.isErr()) {
       return false;
     }
-    const here = listed.value.filter((entry) => entry.zone === this.#zone);
-    this.#instances = new Map(here.map((entry) => [entry.id, entry]));
-    for (const known of [this.#reports, this.#own, this.#shares]) {
-      for (const id of known.keys()) {
+    const inZone = listed.value.filter((entry) => entry.zone === this.#zone);
+    this.#instances = new Map(inZone.map((entry) => [entry.id, entry]));
+    for (const byInstance of [
+      this.#reports,
+      this.#ownPolls,
+      this.#assignments,
+    ]) {
+      for (const id of byInstance.keys()) {
         if (!this.#instances.has(id)) {
-          known.delete(id);
+          byInstance.delete(id);
         }
       }
     }
@@ -170,25 +178,25 @@
     const now = this.#clock.now();
     this.#pauses.tick(now);
     for (const instance of this.#instances.values()) {
-      if (this.#isOwn(instance.id) || this.#isStale(instance.id, now)) {
+      if (this.#isAssigned(instance.id) || this.#isStale(instance.id, now)) {
         void this.#poll(instance);
       }
     }
   }
 
-  #isOwn(id: InstanceId): boolean {
-    let isOwn = this.#shares.get(id);
-    if (isOwn === undefined) {
-      isOwn = this.#live.isChosen(`poll ${id}`, POLLERS);
-      this.#shares.set(id, isOwn);
+  #isAssigned(id: InstanceId): boolean {
+    let isAssigned = this.#assignments.get(id);
+    if (isAssigned === undefined) {
+      isAssigned = this.#live.isChosen(`poll ${id}`, POLLERS_PER_TARGET);
+      this.#assignments.set(id, isAssigned);
     }
-    return isOwn;
+    return isAssigned;
   }
 
   /**
-   * Others should poll this target, and nothing fresh of it came from them:
-   * they died, or the way to them is cut. Without polling it here a group would
-   * seem incomplete though it serves.
+   * Whether the daemons that poll this target deliver no fresh report: they
+   * died or are unreachable. Unless it is polled here too, its group would seem
+   * incomplete although it serves.
    */
   #isStale(id: InstanceId, now: number): boolean {
     const seenAt = this.#reports.get(id)?.seenAt ?? Number.NEGATIVE_INFINITY;
@@ -196,18 +204,18 @@
   }
 
   async #poll(instance: IInstance): Promise<void> {
-    if (this.#asking.has(instance.id)) {
+    if (this.#polling.has(instance.id)) {
       return;
     }
-    this.#asking.add(instance.id);
+    this.#polling.add(instance.id);
     this.#metrics.count("target_polls");
     const askedAt = this.#clock.now();
     const { pollTimeout } = this.#timing;
     const answer = await this.#targets.report(instance.address, pollTimeout);
-    this.#asking.delete(instance.id);
+    this.#polling.delete(instance.id);
     if (answer.isOk() && answer.value.instance === instance.id) {
       const seen = { report: answer.value, seenAt: askedAt };
-      this.#own.set(instance.id, seen);
+      this.#ownPolls.set(instance.id, seen);
       this.mergeReports([seen]);
     }
   }
--- a/src/common/services/zone_domains.ts
+++ b/src/common/services/zone_domains.ts
@@ -1,4 +1,4 @@
-/** One {@link DomainController} for each fabric domain seen in the zone. */
+/** Runs one {@link DomainController} for each fabric domain of the zone. */
 import { DisposableStore } from "../disposable.ts";
 import type { IWantedGroups } from "../groups/formation.ts";
 import type { DomainName } from "../types.ts";
@@ -6,19 +6,19 @@
 import { DomainController } from "./domain_controller.ts";
 import type { IDomainOptions, IDomainPorts } from "./domain_controller.ts";
 
-/** How often the instance list is searched for new domains, milliseconds. */
-const SEARCH_EVERY = 500;
+/** How often the instance list is checked for new domains, milliseconds. */
+const SEARCH_INTERVAL = 500;
 
-/** Options common to the domains of a zone. */
+/** Options shared by the domains of a zone. */
 export interface IZoneDomainOptions extends Omit<
   IDomainOptions,
   "domain" | "wanted"
 > {
-  /** Groups wanted in a domain with this many engines. */
+  /** Groups that a domain with this many engines should have. */
   readonly wanted: (engines: number) => readonly IWantedGroups[];
 }
 
-/** Starts a domain service when the instance list first names its domain. */
+/** Starts a controller when the instance list first names its domain. */
 export class ZoneDomains {
   readonly #ports: IDomainPorts;
   readonly #options: IZoneDomainOptions;
@@ -36,17 +36,17 @@
   }
 
   start(): void {
-    const search = () => this.#search();
-    this.#owned.add(this.#ports.clock.every(SEARCH_EVERY, search));
+    const findDomains = () => this.#findDomains();
+    this.#owned.add(this.#ports.clock.every(SEARCH_INTERVAL, findDomains));
   }
 
-  /** Gives every lease back. */
+  /** Releases all leases. */
   async close(): Promise<void> {
     this.#owned.dispose();
     await Promise.all(this.all.map((domain) => domain.close()));
   }
 
-  #search(): void {
+  #findDomains(): void {
     for (const instance of this.#ports.directory.instances.values()) {
       const isEngine = instance.kind === ServiceKind.Engine;
       if (isEngine && !this.#domains.has(instance.domain)) {
--- a/src/common/services/zone_loads.ts
+++ b/src/common/services/zone_loads.ts
@@ -1,11 +1,11 @@
-/** What a zone tells other zones of its services' load. */
+/** Computes the load of a zone's services, as reported to other zones. */
 import type { IServiceLoad } from "../membership/zone_directory.ts";
 import { ServiceKind, TargetState } from "../types.ts";
 import type { InstanceId, ServiceName } from "../types.ts";
 import type { GroupDirectory } from "./group_directory.ts";
 import type { TargetDirectory } from "./target_directory.ts";
 
-/** Complete groups and ready plain targets by service, with their load. */
+/** Sums the load of complete groups and ready plain targets by service. */
 export function zoneLoads(
   groups: GroupDirectory,
   targets: TargetDirectory,
