--- a/src/common/services/alarms.ts
+++ b/src/common/services/alarms.ts
@@ -1,32 +1,32 @@
-/** What is degraded in this daemon, and since when. */
+/** Alarms of this daemon: degraded conditions, and since when they exist. */
 import type { IClock, ILog, IMetrics } from "./services.ts";
 
-/** Something that does not work as it should but has not stopped service. */
+/** A fault that has not stopped service. */
 export interface IAlarm {
-  /** Names the kind; docs/OPERATORS.md says what each means. */
+  /** The kind of alarm; docs/OPERATORS.md explains each. */
   readonly alarm: AlarmName;
   readonly detail: string;
-  /** Calendar time as milliseconds since 1970. */
+  /** Wall-clock time, milliseconds since 1970. */
   readonly since: number;
 }
 
 /** The kinds of alarm. */
 export enum AlarmName {
-  /** No good version of a plan list is known: callers are refused. */
+  /** No valid version of a plan list is known: callers are refused. */
   PlanListsUnknown = "plan_lists_unknown",
-  /** The platform does not answer reads of the plan lists. */
+  /** Reads of the plan lists from the platform fail. */
   PlanListsUnconfirmed = "plan_lists_unconfirmed",
   /** The platform holds an older plan list than the one in force. */
   PlatformBehind = "platform_behind",
   /** A newer plan list has findings and is not in force. */
   PlanListRefused = "plan_list_refused",
-  /** Customers in force name a plan that is not in the list. */
+  /** The customers list in force names a plan that does not exist. */
   CustomerWithoutPlan = "customer_without_plan",
   /** Replica groups of the zone cannot serve: members are missing. */
   GroupsDown = "groups_down",
 }
 
-/** Raised alarms; each is logged when it is raised and when it is cleared. */
+/** Tracks raised alarms; logs each when it is raised and when it is cleared. */
 export class Alarms {
   readonly #clock: IClock;
   readonly #log: ILog;
@@ -45,18 +45,18 @@
 
   /** Raises or clears an alarm; null clears. */
   set(alarm: AlarmName, detail: string | null): void {
-    const known = this.#raised.get(alarm);
+    const current = this.#raised.get(alarm);
     if (detail !== null) {
-      const since = known?.since ?? this.#clock.calendar();
+      const since = current?.since ?? this.#clock.calendar();
       this.#raised.set(alarm, { alarm, detail, since });
     } else {
       this.#raised.delete(alarm);
     }
     const isRaised = detail !== null;
-    if (isRaised !== (known !== undefined)) {
+    if (isRaised !== (current !== undefined)) {
       this.#metrics.gauge("alarm", isRaised ? 1 : 0, { alarm });
       const event = isRaised ? "alarm_raised" : "alarm_cleared";
-      this.#log.warn(event, { alarm, detail: detail ?? known?.detail });
+      this.#log.warn(event, { alarm, detail: detail ?? current?.detail });
     }
   }
 }
--- a/src/common/services/daemon_list.ts
+++ b/src/common/services/daemon_list.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's list of daemons: how a daemon that knows nobody finds its
- * peers. It lags and costs a call that grows with the fleet, so after the start
- * few daemons read it, seldom, and the rest learn of one another by membership.
+ * The platform's list of daemons, by which a daemon without peers finds them.
+ * It lags, and reading it costs a call that grows with the fleet. So after the
+ * start few daemons read it, rarely; the rest rely on membership.
  */
 import { Backoff } from "../backoff.ts";
 import { DisposableStore } from "../disposable.ts";
@@ -16,10 +16,10 @@
   IRandom,
 } from "./services.ts";
 
-/** The platform's kind of object by which daemons find one another. */
+/** Object kind of the daemon entries on the platform. */
 export const DAEMON_KIND = "daemons";
 
-/** How long until the next reading, milliseconds. */
+/** Average time until the next read of the list, milliseconds. */
 const READ_WHEN_ALONE_EVERY = 10_000;
 const READ_BY_DELEGATE_EVERY = 60_000;
 const READ_OTHERWISE_EVERY = 600_000;
@@ -27,29 +27,29 @@
 /** Bounds of the pause after a failed call, milliseconds. */
 const RETRY_BOUNDS = { shortest: 1_000, longest: 60_000 };
 
-/** Readings that an entry must be missing from the zone before it goes. */
-const READINGS_BEFORE_REMOVAL = 3;
+/** Consecutive reads with its daemon not live before an entry is removed. */
+const READS_BEFORE_REMOVAL = 3;
 
-/** What the rest of the daemon tells the list. */
+/** What {@link DaemonList} asks of its owner, and reports to it. */
 export interface IDaemonListCallbacks {
   /** Whether no other daemon of the zone is known. */
   readonly isAlone: () => boolean;
   readonly isDelegate: () => boolean;
-  /** Whether an entry of this zone is live by membership. */
+  /** Whether membership considers an entry of this zone live. */
   readonly isLive: (entry: IDaemonEntry) => boolean;
   readonly onEntriesRead: (entries: readonly IDaemonEntry[]) => void;
 }
 
-/** Registers this daemon, and reads who else did. */
+/** Registers this daemon, and reads the other daemons' entries. */
 export class DaemonList implements IDisposable {
   readonly #platform: IPlatform;
   readonly #clock: IClock;
   readonly #random: IRandom;
   readonly #self: IDaemonEntry;
-  readonly #needs: IDaemonListCallbacks;
+  readonly #callbacks: IDaemonListCallbacks;
   readonly #retry: Backoff;
   readonly #owned = new DisposableStore();
-  readonly #missing = new Map<string, number>();
+  readonly #notLiveReads = new Map<string, number>();
   #findings: readonly IFinding[] = [];
 
   constructor(
@@ -59,31 +59,31 @@
       readonly random: IRandom;
     },
     self: IDaemonEntry,
-    needs: IDaemonListCallbacks,
+    callbacks: IDaemonListCallbacks,
   ) {
     this.#platform = ports.platform;
     this.#clock = ports.clock;
     this.#random = ports.random;
     this.#self = self;
-    this.#needs = needs;
+    this.#callbacks = callbacks;
     this.#retry = new Backoff(ports.random, RETRY_BOUNDS);
   }
 
-  /** Entries of the last reading that are not those of a daemon. */
+  /** Invalid entries in the last read of the list. */
   get findings(): readonly IFinding[] {
     return this.#findings;
   }
 
-  /** Resolves after the first reading, whether or not it succeeded. */
+  /** Resolves after the first read, whether or not it succeeded. */
   async start(): Promise<void> {
-    await this.#turn();
+    await this.#readRepeatedly();
   }
 
   dispose(): void {
     this.#owned.dispose();
   }
 
-  /** Takes this daemon off the list. */
+  /** Removes this daemon from the list. */
   async leave(): Promise<void> {
     this.dispose();
     const found = await this.#platform.read(DAEMON_KIND, this.#self.daemon);
@@ -93,13 +93,15 @@
     }
   }
 
-  async #turn(): Promise<void> {
+  async #readRepeatedly(): Promise<void> {
     const isRead = await this.#read();
     if (isRead) {
       this.#retry.reset();
     }
     const pause = isRead ? this.#pause() : this.#retry.next();
-    this.#owned.add(this.#clock.after(pause, () => void this.#turn()));
+    this.#owned.add(
+      this.#clock.after(pause, () => void this.#readRepeatedly()),
+    );
   }
 
   async #read(): Promise<boolean> {
@@ -111,14 +113,14 @@
     const { entries, findings } = readDaemonEntries(objects);
     this.#findings = findings;
     const { daemon } = this.#self;
-    this.#needs.onEntriesRead(
+    this.#callbacks.onEntriesRead(
       entries.filter((entry) => entry.daemon !== daemon),
     );
     if (!entries.some((entry) => entry.daemon === daemon)) {
       return this.#register();
     }
-    if (this.#needs.isDelegate()) {
-      await this.#removeGone(objects);
+    if (this.#callbacks.isDelegate()) {
+      await this.#removeDead(objects);
     }
     return true;
   }
@@ -134,30 +136,30 @@
   }
 
   /**
-   * A daemon that dies leaves its entry behind; without this the list would
-   * grow by each failure and each new daemon would try to reach the dead.
+   * Removes entries of daemons that died. Otherwise the list would grow with
+   * every failure, and new daemons would try to reach dead ones.
    */
-  async #removeGone(objects: readonly IPlatformObject[]): Promise<void> {
+  async #removeDead(objects: readonly IPlatformObject[]): Promise<void> {
     for (const object of objects) {
       const entry = parseDaemonEntry(object).unwrapOr(null);
-      const isGone =
+      const isDead =
         entry?.zone === this.#self.zone &&
         entry.daemon !== this.#self.daemon &&
-        !this.#needs.isLive(entry);
-      const readings = isGone ? (this.#missing.get(object.name) ?? 0) + 1 : 0;
-      this.#missing.set(object.name, readings);
-      if (readings >= READINGS_BEFORE_REMOVAL) {
-        this.#missing.delete(object.name);
+        !this.#callbacks.isLive(entry);
+      const reads = isDead ? (this.#notLiveReads.get(object.name) ?? 0) + 1 : 0;
+      this.#notLiveReads.set(object.name, reads);
+      if (reads >= READS_BEFORE_REMOVAL) {
+        this.#notLiveReads.delete(object.name);
         await this.#platform.remove(DAEMON_KIND, object.name, object.version);
       }
     }
   }
 
-  /** Drawn from around the period, so that daemons do not read together. */
+  /** The period with jitter, so that daemons do not read at the same time. */
   #pause(): number {
-    const period = this.#needs.isAlone()
+    const period = this.#callbacks.isAlone()
       ? READ_WHEN_ALONE_EVERY
-      : this.#needs.isDelegate()
+      : this.#callbacks.isDelegate()
         ? READ_BY_DELEGATE_EVERY
         : READ_OTHERWISE_EVERY;
     return period * (0.5 + this.#random.next());
--- a/src/common/services/daemon_status.ts
+++ b/src/common/services/daemon_status.ts
@@ -1,4 +1,4 @@
-/** What a daemon tells of itself, and where daemons are found. */
+/** Status that a daemon reports, and the entries by which daemons are found. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { z } from "zod";
@@ -13,7 +13,7 @@
   IPlatformObject,
 } from "./services.ts";
 
-/** A daemon's own account of itself, as its operations address gives it. */
+/** A daemon's status, as served at its operations address. */
 export interface IDaemonStatus {
   readonly daemon: string;
   readonly id: string;
@@ -22,15 +22,15 @@
   readonly stopping: boolean;
   readonly in_flight: number;
   readonly lists: readonly IListVersion[];
-  /** Milliseconds since the platform confirmed the lists; null: never. */
+  /** Milliseconds since the platform confirmed the lists; null if never. */
   readonly lists_age_ms: number | null;
-  /** Daemons of its zone that it believes live. */
+  /** Daemons of its zone that it considers live. */
   readonly live_daemons: readonly string[];
   readonly zones: readonly IZoneSummary[];
   readonly alarms: readonly IAlarm[];
   readonly findings: readonly string[];
   readonly domains: readonly IDomainStatus[];
-  /** Live engines of the zone in no group. */
+  /** Live engines of the zone that are in no group. */
   readonly spares: readonly string[];
   readonly groups: readonly IGroupStatus[];
 }
@@ -38,7 +38,7 @@
 /** A replica group as a daemon sees it. */
 export interface IGroupStatus extends IReplicaGroup {
   readonly complete: boolean;
-  /** Milliseconds for which it could not serve; 0 when it can. */
+  /** Milliseconds since it became unable to serve; 0 while it can. */
   readonly down_ms: number;
 }
 
@@ -59,8 +59,9 @@
 });
 
 /**
- * Reads daemons' entries. One that someone else wrote is passed over: taking
- * it at its word ended every daemon at its next look at the list.
+ * Parses daemon entries. Entries that are invalid, such as those written by
+ * something else, are skipped: one taken unchecked would end every daemon at
+ * its next read of the list.
  */
 export function readDaemonEntries(objects: readonly IPlatformObject[]): {
   readonly entries: readonly IDaemonEntry[];
@@ -79,7 +80,7 @@
   return { entries, findings };
 }
 
-/** Reads one daemon's entry. */
+/** Parses one daemon's entry. */
 export function parseDaemonEntry(
   object: IPlatformObject,
 ): Result<IDaemonEntry, readonly IFinding[]> {
--- a/src/common/services/digest_service.ts
+++ b/src/common/services/digest_service.ts
@@ -9,7 +9,7 @@
 import type { IClock, IHash, IMetrics } from "./services.ts";
 import type { TargetDirectory } from "./target_directory.ts";
 
-/** What the service works with. */
+/** Dependencies of {@link DigestService}. */
 export interface IDigestPorts {
   readonly peers: IPeers;
   readonly clock: IClock;
@@ -20,12 +20,12 @@
   readonly members: () => readonly IMember[];
 }
 
-/** Pulls from a chosen peer each period, and answers peers' pulls. */
+/** Pulls reports from one peer each period, and answers peers' pulls. */
 export class DigestService implements IDisposable {
   readonly #ports: IDigestPorts;
   readonly #period: number;
   readonly #self: string;
-  readonly #board: DigestTable;
+  readonly #table: DigestTable;
   readonly #owned = new DisposableStore();
   #isPulling = false;
   #pulls = 0;
@@ -38,7 +38,7 @@
     this.#ports = ports;
     this.#period = options.period;
     this.#self = options.self;
-    this.#board = new DigestTable(ports.hash.hash(options.self));
+    this.#table = new DigestTable(ports.hash.hash(options.self));
   }
 
   start(): void {
@@ -46,11 +46,11 @@
     this.#owned.add(clock.every(this.#period, () => void this.#pull()));
   }
 
-  /** Answers a peer's pull with what is fresher here. */
-  answerPull(held: readonly IHeldRow[]): readonly IDigestRow[] {
+  /** Answers a peer's pull with the rows that are fresher here. */
+  answerPull(heldRows: readonly IHeldRow[]): readonly IDigestRow[] {
     const { clock, directory } = this.#ports;
-    this.#board.publish(directory.ownReports());
-    return this.#board.fresherRows(held, clock.now());
+    this.#table.publish(directory.ownReports());
+    return this.#table.fresherRows(heldRows, clock.now());
   }
 
   dispose(): void {
@@ -65,13 +65,13 @@
     const { clock, directory, metrics, peers } = this.#ports;
     this.#isPulling = true;
     metrics.count("peer_calls", { call: "digests" });
-    this.#board.publish(directory.ownReports());
+    this.#table.publish(directory.ownReports());
     const askedAt = clock.now();
-    const held = this.#board.heldRows(askedAt);
-    const answer = await peers.pullDigests(peer.peerAddress, held);
+    const heldRows = this.#table.heldRows(askedAt);
+    const answer = await peers.pullDigests(peer.peerAddress, heldRows);
     this.#isPulling = false;
     if (answer.isOk()) {
-      directory.mergeReports(this.#board.merge(answer.value, askedAt));
+      directory.mergeReports(this.#table.merge(answer.value, askedAt));
     }
   }
 
--- a/src/common/services/membership_service.ts
+++ b/src/common/services/membership_service.ts
@@ -1,4 +1,4 @@
-/** Runs the membership state machine: its timers, and its calls to peers. */
+/** Runs the membership state machine's timers and its calls to peers. */
 import type { Result } from "ts-results-es";
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
@@ -28,13 +28,13 @@
   IRandom,
 } from "./services.ts";
 
-/** Takes a peer's plan list versions, with where it is reached. */
+/** Receives a peer's plan list versions and the peer's address. */
 export type VersionsListener = (
   versions: readonly IListVersion[],
   address: string,
 ) => void;
 
-/** What the service works with. */
+/** Dependencies of {@link MembershipService}. */
 export interface IMembershipPorts {
   readonly peers: IPeers;
   readonly clock: IClock;
@@ -51,7 +51,7 @@
 export class MembershipService implements IDisposable {
   readonly #ports: IMembershipPorts;
   readonly #self: IMember;
-  readonly #machine: SwimMembership;
+  readonly #membership: SwimMembership;
   readonly #onVersions: VersionsListener;
   readonly #owned = new DisposableStore();
 
@@ -63,45 +63,48 @@
     this.#ports = ports;
     this.#self = self;
     this.#onVersions = onVersions;
-    this.#machine = new SwimMembership(self, MEMBERSHIP_TIMING, ports);
+    this.#membership = new SwimMembership(self, MEMBERSHIP_TIMING, ports);
   }
 
   /** Other live daemons of the zone. */
   get liveMembers(): readonly IMember[] {
-    return this.#machine.live;
+    return this.#membership.live;
   }
 
+  /** Every known member including this daemon, for peers to compare. */
   get view(): readonly IMemberUpdate[] {
-    return this.#machine.view;
+    return this.#membership.view;
   }
 
   start(): void {
     const { clock } = this.#ports;
-    const tick = () => void this.#perform(this.#machine.tick(clock.now()));
+    const tick = () => void this.#perform(this.#membership.tick(clock.now()));
     this.#owned.add(clock.every(MEMBERSHIP_TIMING.period, tick));
   }
 
-  /** Takes daemons named by the platform; they are probed. */
+  /** Adds daemons named by the platform or by peers; they are probed. */
   addContacts(members: readonly IMember[]): void {
-    this.#machine.addContacts(members);
+    this.#membership.addContacts(members);
   }
 
-  /** Probes some members out of turn: there is news that cannot wait. */
+  /** Probes some members at once, to spread urgent updates. */
   spread(count: number): void {
-    void this.#perform(this.#machine.spreadUpdates(count));
+    void this.#perform(this.#membership.spreadUpdates(count));
   }
 
   /** Answers a peer's probe. */
   handleProbe(probe: IProbe): IProbe {
     const { clock, versions } = this.#ports;
     const { member } = probe.message.from;
-    void this.#perform(this.#machine.handleProbe(probe.message, clock.now()));
+    void this.#perform(
+      this.#membership.handleProbe(probe.message, clock.now()),
+    );
     this.#onVersions(probe.versions, member.peerAddress);
-    const message = this.#machine.composeAnswer(member.daemon);
+    const message = this.#membership.composeAnswer(member.daemon);
     return { message, versions: versions() };
   }
 
-  /** Passes a peer's probe on to a target. */
+  /** Relays a peer's probe to another member. */
   relayProbe(
     probe: IProbe,
     target: string,
@@ -109,10 +112,10 @@
     return this.#ports.peers.probe(target, probe, RELAYED_PROBE_TIMEOUT);
   }
 
-  /** Tells some members of the departure. */
+  /** Announces the departure to some members. */
   async leave(): Promise<void> {
     this.#owned.dispose();
-    await this.#perform(this.#machine.leave());
+    await this.#perform(this.#membership.leave());
   }
 
   dispose(): void {
@@ -128,17 +131,17 @@
       case MembershipActionKind.Probe: {
         const { probe, target, message } = action;
         const sent = this.#probe(target.peerAddress, message);
-        return this.#settle(probe, target.peerAddress, sent);
+        return this.#handleProbeResult(probe, target.peerAddress, sent);
       }
       case MembershipActionKind.ProbeThrough: {
         const { probe, target, relay, message } = action;
         const sent = this.#probeThrough(relay.peerAddress, target, message);
-        return this.#settle(probe, target.peerAddress, sent);
+        return this.#handleProbeResult(probe, target.peerAddress, sent);
       }
       case MembershipActionKind.Synchronize:
         return this.#synchronize(action.target);
       case MembershipActionKind.Changed:
-        return this.#changed();
+        return this.#handleChange();
     }
   }
 
@@ -166,7 +169,7 @@
     );
   }
 
-  async #settle(
+  async #handleProbeResult(
     probe: number,
     address: string,
     sent: Promise<Result<IProbe, ICallFailure>>,
@@ -174,11 +177,11 @@
     const answer = await sent;
     const now = this.#ports.clock.now();
     if (answer.isErr()) {
-      return this.#perform(this.#machine.handleProbeFailure(probe, now));
+      return this.#perform(this.#membership.handleProbeFailure(probe, now));
     }
     const { message, versions } = answer.value;
     this.#onVersions(versions, address);
-    return this.#perform(this.#machine.handleAnswer(probe, message, now));
+    return this.#perform(this.#membership.handleAnswer(probe, message, now));
   }
 
   async #synchronize(target: IMember): Promise<void> {
@@ -186,13 +189,13 @@
     metrics.count("peer_calls", { call: "synchronize" });
     const view = await peers.synchronize(target.peerAddress);
     if (view.isOk()) {
-      return this.#perform(this.#machine.mergeView(view.value, clock.now()));
+      return this.#perform(this.#membership.mergeView(view.value, clock.now()));
     }
   }
 
-  #changed(): void {
+  #handleChange(): void {
     const { live, log, metrics } = this.#ports;
-    live.update(this.#machine.live.map(({ daemon }) => daemon));
+    live.update(this.#membership.live.map(({ daemon }) => daemon));
     metrics.gauge("live_daemons", live.inZone.length, {
       zone: this.#self.zone,
     });
--- a/src/common/services/metered_platform.ts
+++ b/src/common/services/metered_platform.ts
@@ -1,7 +1,7 @@
 /**
- * Counts this daemon's calls to the platform. The platform counts each call, a
- * waiting watch as one, and its rates grow more slowly than the fleet: a daemon
- * whose rate rises is to be seen before the platform turns calls away.
+ * Counts this daemon's calls to the platform. The platform's rate limits count
+ * every call, a pending watch as one, and grow more slowly than the fleet; the
+ * metrics show a rising call rate before the platform rejects calls.
  */
 import type { Option, Result } from "ts-results-es";
 import type { ICallFailure, IInstance } from "../types.ts";
@@ -14,7 +14,7 @@
   IWriteFailure,
 } from "./services.ts";
 
-/** Passes every call on; counts it when it is sent, and failures again. */
+/** Delegates every call; counts calls when sent, and failures separately. */
 export class MeteredPlatform implements IPlatform {
   readonly #platform: IPlatform;
   readonly #metrics: IMetrics;
@@ -29,11 +29,11 @@
     kind: string,
     name: string,
   ): Promise<Result<Option<IPlatformObject>, ICallFailure>> {
-    return this.#counted("read", kind, this.#platform.read(kind, name));
+    return this.#count("read", kind, this.#platform.read(kind, name));
   }
 
   list(kind: string): Promise<Result<IWatchResult, ICallFailure>> {
-    return this.#counted("list", kind, this.#platform.list(kind));
+    return this.#count("list", kind, this.#platform.list(kind));
   }
 
   async watch(
@@ -42,15 +42,15 @@
     options: { readonly timeout: number; readonly signal: AbortSignal },
   ): Promise<Result<IWatchResult, ICallFailure>> {
     const sent = this.#platform.watch(kind, after, options);
-    this.#noteWatches(1);
-    const found = await this.#counted("watch", kind, sent);
-    this.#noteWatches(-1);
+    this.#addWatches(1);
+    const found = await this.#count("watch", kind, sent);
+    this.#addWatches(-1);
     return found;
   }
 
   write(write: IConditionalWrite): Promise<Result<number, IWriteFailure>> {
     const sent = this.#platform.write(write);
-    return this.#counted("write", write.kind, sent);
+    return this.#count("write", write.kind, sent);
   }
 
   remove(
@@ -59,14 +59,14 @@
     expectedVersion: number,
   ): Promise<Result<void, IWriteFailure>> {
     const sent = this.#platform.remove(kind, name, expectedVersion);
-    return this.#counted("remove", kind, sent);
+    return this.#count("remove", kind, sent);
   }
 
   instances(): Promise<Result<readonly IInstance[], ICallFailure>> {
-    return this.#counted("list", "instances", this.#platform.instances());
+    return this.#count("list", "instances", this.#platform.instances());
   }
 
-  async #counted<T, E>(
+  async #count<T, E>(
     call: string,
     kind: string,
     sent: Promise<Result<T, E>>,
@@ -79,7 +79,7 @@
     return answer;
   }
 
-  #noteWatches(change: number): void {
+  #addWatches(change: number): void {
     this.#watches += change;
     this.#metrics.gauge("platform_watches", this.#watches);
   }
--- a/src/common/services/peer_service.ts
+++ b/src/common/services/peer_service.ts
@@ -1,4 +1,4 @@
-/** This daemon among the others: who is live, plan lists, other zones. */
+/** Exchanges membership, plan lists and zone summaries with other daemons. */
 import type { Result } from "ts-results-es";
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
@@ -21,32 +21,32 @@
 import type { PlanListService } from "./plan_list_service.ts";
 import type { IDaemonEntry, IListVersion, IPlatform } from "./services.ts";
 
-/** How often zones are asked about, milliseconds; one call a time. */
-const ASK_ZONES_EVERY = 1_000;
+/** How often a peer is asked about the zones, milliseconds; one at a time. */
+const ZONES_QUERY_INTERVAL = 1_000;
 
-/** Members and zones told at once of a plan list that came into force. */
-const TOLD_OF_LIST = 3;
+/** Members and zones notified at once of a newly adopted plan list. */
+const ADOPTION_NOTIFICATIONS = 3;
 
-/** Peers asked before a daemon serves; one with the newest lists is enough. */
-const MAXIMUM_ASKED_AT_START = 12;
+/** Peers asked before a daemon serves; one with the newest lists suffices. */
+const MAXIMUM_PEERS_AT_START = 12;
 
 /**
- * Rounds of asking at start before a daemon serves without any peer's answer;
- * each lasts a call's bound at most, so that a lone daemon serves in seconds.
+ * Rounds of calls at start before a daemon serves without any peer's answer.
+ * Each lasts at most one call timeout, so a lone daemon serves within seconds.
  */
 const ROUNDS_AT_START = 3;
 
-/** What the service works with. */
+/** Dependencies of {@link PeerService}. */
 export interface IPeerServicePorts extends Omit<IMembershipPorts, "versions"> {
   readonly platform: IPlatform;
   readonly lists: PlanListService;
-  /** Addresses from the settings, for when the platform is away. */
+  /** Peer addresses from the settings, for when the platform is unavailable. */
   readonly seeds: readonly string[];
   /** Load of this zone's services, for other zones. */
   readonly loads: () => readonly IServiceLoad[];
 }
 
-/** Carries membership, plan list versions and zone summaries. */
+/** Exchanges membership, plan list versions and zone summaries with peers. */
 export class PeerService implements IDisposable {
   readonly #ports: IPeerServicePorts;
   readonly #peers: IPeers;
@@ -54,8 +54,8 @@
   readonly #self: IMember;
   readonly #members: MembershipService;
   readonly #zones: ZoneDirectory;
-  readonly #list: DaemonList;
-  /** Addresses of peers by the platform's list. */
+  readonly #daemonList: DaemonList;
+  /** Peer addresses from the platform's list. */
   #listed: readonly string[] = [];
   readonly #fetching = new Map<PlanListName, Promise<void>>();
   readonly #owned = new DisposableStore();
@@ -69,14 +69,14 @@
     this.#members = new MembershipService(
       { ...ports, versions: () => ports.lists.versions },
       this.#self,
-      (versions, address) => void this.#learn(versions, address),
+      (versions, address) => void this.#fetchNewer(versions, address),
     );
     this.#zones = new ZoneDirectory(this.#self, ports);
-    this.#list = new DaemonList(ports, self, {
+    this.#daemonList = new DaemonList(ports, self, {
       isAlone: () => this.#members.liveMembers.length === 0,
       isDelegate: () => this.#zones.isDelegate,
       isLive: (entry) => ports.live.inZone.includes(entry.daemon),
-      onEntriesRead: (entries) => this.#learned(entries),
+      onEntriesRead: (entries) => this.#addListed(entries),
     });
   }
 
@@ -85,26 +85,27 @@
     return this.#members.liveMembers;
   }
 
-  /** Entries on the platform that are not those of a daemon. */
+  /** Problems with daemon entries on the platform. */
   get findings(): readonly IFinding[] {
-    return this.#list.findings;
+    return this.#daemonList.findings;
   }
 
-  /** What is known of the other zones, each with its age. */
+  /** Summaries of the other zones, each with its age. */
   get zones(): readonly IZoneSummary[] {
     return this.#zones.summaries(this.#ports.clock.now());
   }
 
+  /** Every known member including this daemon, for peers to compare. */
   get view(): readonly IMemberUpdate[] {
     return this.#members.view;
   }
 
   start(): void {
     this.#members.start();
-    void this.#askAtStart();
-    const ask = () => void this.#askNext();
-    this.#owned.add(this.#ports.clock.every(ASK_ZONES_EVERY, ask));
-    this.#owned.add(this.#lists.onAdopted(() => this.#spread()));
+    void this.#queryPeersAtStart();
+    const query = () => void this.#queryNext();
+    this.#owned.add(this.#ports.clock.every(ZONES_QUERY_INTERVAL, query));
+    this.#owned.add(this.#lists.onAdopted(() => this.#announceAdoption()));
   }
 
   handleProbe(probe: IProbe): IProbe {
@@ -118,55 +119,55 @@
     return this.#members.relayProbe(probe, target);
   }
 
-  /** Answers a daemon of any zone. */
-  answerZones(question: IZonesRequest): IZonesResponse {
-    void this.#learn(question.versions, question.from.peerAddress);
+  /** Answers a request for zone summaries from a daemon of any zone. */
+  answerZones(request: IZonesRequest): IZonesResponse {
+    void this.#fetchNewer(request.versions, request.from.peerAddress);
     const { versions } = this.#lists;
     return { zones: [this.#ownSummary(), ...this.zones], versions };
   }
 
-  /** Tells peers of the departure, and leaves the platform's list. */
+  /** Announces the departure to peers, and leaves the platform's list. */
   async leave(): Promise<void> {
     this.dispose();
-    await Promise.all([this.#members.leave(), this.#list.leave()]);
+    await Promise.all([this.#members.leave(), this.#daemonList.leave()]);
   }
 
   dispose(): void {
     this.#owned.dispose();
     this.#members.dispose();
-    this.#list.dispose();
+    this.#daemonList.dispose();
   }
 
   /**
-   * Asks peers for their lists before this daemon serves. By the platform's
-   * answer alone it could serve by a stale read; without the seeds a daemon
-   * started during an outage would know no one to ask.
+   * Asks peers for their lists before this daemon serves: the platform's answer
+   * alone may be a stale read. The seeds are for a daemon started during a
+   * platform outage, which would know no peer to ask.
    */
-  async #askAtStart(): Promise<void> {
-    await this.#list.start();
+  async #queryPeersAtStart(): Promise<void> {
+    await this.#daemonList.start();
     let isAnswered = false;
     for (let round = 0; round < ROUNDS_AT_START && !isAnswered; round++) {
-      isAnswered = await this.#askSomeAtStart();
+      isAnswered = await this.#querySomeAtStart();
     }
     this.#lists.markPeersAsked();
   }
 
   /**
-   * True when a peer answered, or when there is none to ask. Entries of this
-   * daemon's earlier runs bear its own address, and its own answer is news to
-   * nobody.
+   * True when a peer answered, or when there is none to ask. This daemon's own
+   * address, which entries of its earlier runs have, is left out: its own
+   * answer would add nothing.
    */
-  async #askSomeAtStart(): Promise<boolean> {
+  async #querySomeAtStart(): Promise<boolean> {
     const addresses = new Set([...this.#listed, ...this.#ports.seeds]);
     addresses.delete(this.#self.peerAddress);
-    const some = [...addresses].slice(0, MAXIMUM_ASKED_AT_START);
+    const some = [...addresses].slice(0, MAXIMUM_PEERS_AT_START);
     const answered = await Promise.all(
-      some.map((address) => this.#ask(address)),
+      some.map((address) => this.#queryPeer(address)),
     );
     return some.length === 0 || answered.includes(true);
   }
 
-  #learned(entries: readonly IDaemonEntry[]): void {
+  #addListed(entries: readonly IDaemonEntry[]): void {
     const members = entries.map(({ daemon, zone, peerAddress }) => ({
       daemon,
       zone,
@@ -177,55 +178,55 @@
     this.#zones.setContacts(members);
   }
 
-  /** A list in force must be so everywhere within seconds: tell it on. */
-  #spread(): void {
-    this.#members.spread(TOLD_OF_LIST);
+  /** Notifies some peers, so that a list is in force everywhere in seconds. */
+  #announceAdoption(): void {
+    this.#members.spread(ADOPTION_NOTIFICATIONS);
     if (this.#zones.isDelegate) {
-      for (let told = 0; told < TOLD_OF_LIST; told++) {
-        void this.#askNext();
+      for (let sent = 0; sent < ADOPTION_NOTIFICATIONS; sent++) {
+        void this.#queryNext();
       }
     }
   }
 
-  async #askNext(): Promise<void> {
+  async #queryNext(): Promise<void> {
     const { clock } = this.#ports;
-    const other = this.#zones.nextContact(
+    const peer = this.#zones.nextContact(
       this.#members.liveMembers,
       clock.now(),
     );
-    if (other === null) {
-      return this.#askSeed();
+    if (peer === null) {
+      return this.#querySeed();
     }
-    const isAnswered = await this.#ask(other.peerAddress);
+    const isAnswered = await this.#queryPeer(peer.peerAddress);
     if (!isAnswered) {
-      this.#zones.recordFailure(other, clock.now());
+      this.#zones.recordFailure(peer, clock.now());
     }
   }
 
-  /** Where neither platform nor peers told of anyone, the settings may. */
-  async #askSeed(): Promise<void> {
+  /** Asks a random seed when neither platform nor peers named a daemon. */
+  async #querySeed(): Promise<void> {
     const { random, seeds } = this.#ports;
     const seed = seeds[Math.floor(random.next() * seeds.length)];
     if (seed !== undefined && this.#members.liveMembers.length === 0) {
-      await this.#ask(seed);
+      await this.#queryPeer(seed);
     }
   }
 
   /** True when the peer at the address answered. */
-  async #ask(address: string): Promise<boolean> {
+  async #queryPeer(address: string): Promise<boolean> {
     const { clock, metrics } = this.#ports;
     metrics.count("peer_calls", { call: "zones" });
     const askedAt = clock.now();
     const { versions } = this.#lists;
-    const question = { from: this.#self, versions };
-    const answer = await this.#peers.pullZones(address, question);
+    const request = { from: this.#self, versions };
+    const answer = await this.#peers.pullZones(address, request);
     if (answer.isErr()) {
       return false;
     }
     const { zones } = answer.value;
     this.#zones.merge(zones, askedAt);
     this.#members.addContacts(zones.flatMap(({ delegates }) => delegates));
-    await this.#learn(answer.value.versions, address);
+    await this.#fetchNewer(answer.value.versions, address);
     return true;
   }
 
@@ -242,8 +243,8 @@
     };
   }
 
-  /** Fetches whatever a peer has newer than this daemon, each list once. */
-  async #learn(
+  /** Fetches the lists of which a peer has a newer version. */
+  async #fetchNewer(
     versions: readonly IListVersion[],
     address: string,
   ): Promise<void> {
@@ -256,17 +257,17 @@
   }
 
   /**
-   * Joins a fetch under way: whoever asked before serving must not go on
-   * before the list has come, only because another message asked for it first.
+   * Joins a fetch in progress: a caller that awaits the list before this daemon
+   * serves must not return early because another message requested it first.
    */
   #fetchOnce(
     list: PlanListName,
     version: number,
     address: string,
   ): Promise<void> {
-    const underWay = this.#fetching.get(list);
-    if (underWay !== undefined) {
-      return underWay;
+    const pending = this.#fetching.get(list);
+    if (pending !== undefined) {
+      return pending;
     }
     const fetching = this.#fetch(list, version, address).finally(() =>
       this.#fetching.delete(list),
--- a/src/common/services/plan_list_follower.ts
+++ b/src/common/services/plan_list_follower.ts
@@ -1,4 +1,4 @@
-/** Reads the plan lists from the platform: by watch, or by slow poll. */
+/** Reads the plan lists from the platform by watch or by slow polling. */
 import { Backoff } from "../backoff.ts";
 import type { IDisposable } from "../disposable.ts";
 import { DisposableStore } from "../disposable.ts";
@@ -11,11 +11,11 @@
   IRandom,
 } from "./services.ts";
 
-/** How the platform is followed; durations in milliseconds. */
+/** Timing of watches and polls, milliseconds. */
 export interface IFollowTiming {
-  /** How long a watch waits for news. */
+  /** How long a watch waits for a change. */
   readonly watch: number;
-  /** How often the whole kind is listed, also by those that watch. */
+  /** How often the whole kind is listed, also by watchers. */
   readonly poll: number;
   /** The longest pause after failures. */
   readonly longestRetry: number;
@@ -24,30 +24,30 @@
 /** The first pause after a failure, milliseconds. */
 const SHORTEST_RETRY = 250;
 
-/** How far past its own time a watch may run before it is given up. */
-const WATCH_GRACE = 1_000;
+/** How long after its own timeout a watch is aborted, milliseconds. */
+const WATCH_ABORT_GRACE = 1_000;
 
-/** How often a daemon that does not watch looks whether it should. */
-const DUTY_CHECK_EVERY = 1_000;
+/** How often a daemon checks whether it has become a watcher, milliseconds. */
+const DUTY_CHECK_INTERVAL = 1_000;
 
-/** What the follower tells whoever keeps the lists. */
+/** Callbacks of {@link PlanListFollower}. */
 export interface IFollowerEvents {
   /** True while this daemon is one of its zone's watchers. */
   isWatcher(): boolean;
-  /** A changed object, possibly an old one. */
+  /** Receives a changed object, possibly an old version. */
   changed(object: IPlatformObject): void;
-  /** Everything the platform holds of the kind. */
+  /** Receives every object of the kind on the platform. */
   listed(objects: readonly IPlatformObject[]): void;
-  /** The platform answered; what it holds is known as of now. */
+  /** Called when the platform has answered, so its content is known. */
   confirmed(): void;
   failed(detail: string): void;
 }
 
 /**
- * Follows the kind of the plan lists. After a failure it lists before it
- * watches again: a list is answered at once, so that an outage's end is
- * noticed within the longest pause, and it shows a platform that was restored
- * to older content, which a watch from a higher version never would.
+ * Follows the plan list objects. After a failure it lists before it watches
+ * again: a list is answered at once, so the end of an outage is noticed within
+ * the longest pause. It also detects a platform restored to older content,
+ * which a watch from a higher version never would.
  */
 export class PlanListFollower implements IDisposable {
   readonly #platform: IPlatform;
@@ -58,8 +58,8 @@
   readonly #random: IRandom;
   readonly #owned = new DisposableStore();
   readonly #stopping = new AbortController();
-  #after = 0;
-  #listAt: MonotonicTime = 0;
+  #version = 0;
+  #nextListAt: MonotonicTime = 0;
 
   constructor(
     ports: {
@@ -85,12 +85,12 @@
 
   async run(): Promise<void> {
     while (!this.#stopping.signal.aborted) {
-      if (this.#clock.now() >= this.#listAt) {
+      if (this.#clock.now() >= this.#nextListAt) {
         await this.#list();
       } else if (this.#events.isWatcher()) {
         await this.#watch();
       } else {
-        await this.#pause(DUTY_CHECK_EVERY);
+        await this.#pause(DUTY_CHECK_INTERVAL);
       }
     }
   }
@@ -103,11 +103,11 @@
   async #list(): Promise<void> {
     const found = await this.#platform.list(PLAN_LIST_KIND);
     if (found.isErr()) {
-      await this.#fail(found.error.detail);
+      await this.#handleFailure(found.error.detail);
       return;
     }
-    this.#after = found.value.version;
-    this.#listAt = this.#clock.now() + this.#jittered(this.#timing.poll);
+    this.#version = found.value.version;
+    this.#nextListAt = this.#clock.now() + this.#jittered(this.#timing.poll);
     this.#backoff.reset();
     this.#events.confirmed();
     this.#events.listed(found.value.objects);
@@ -117,24 +117,27 @@
     const watching = new AbortController();
     const stop = () => watching.abort();
     this.#stopping.signal.addEventListener("abort", stop);
-    const bound = this.#clock.after(this.#timing.watch + WATCH_GRACE, stop);
-    const found = await this.#platform.watch(PLAN_LIST_KIND, this.#after, {
+    const bound = this.#clock.after(
+      this.#timing.watch + WATCH_ABORT_GRACE,
+      stop,
+    );
+    const found = await this.#platform.watch(PLAN_LIST_KIND, this.#version, {
       timeout: this.#timing.watch,
       signal: watching.signal,
     });
     bound.dispose();
     this.#stopping.signal.removeEventListener("abort", stop);
     if (found.isErr()) {
-      this.#listAt = 0;
-      await this.#fail(found.error.detail);
+      this.#nextListAt = 0;
+      await this.#handleFailure(found.error.detail);
       return;
     }
-    this.#after = Math.max(this.#after, found.value.version);
+    this.#version = Math.max(this.#version, found.value.version);
     this.#events.confirmed();
     found.value.objects.forEach((object) => this.#events.changed(object));
   }
 
-  async #fail(detail: string): Promise<void> {
+  async #handleFailure(detail: string): Promise<void> {
     if (!this.#stopping.signal.aborted) {
       this.#events.failed(detail);
       await this.#pause(this.#backoff.next());
--- a/src/common/services/plan_list_service.ts
+++ b/src/common/services/plan_list_service.ts
@@ -1,4 +1,4 @@
-/** Keeps the plan lists in force: from the platform and from peers' news. */
+/** Maintains the plan lists in force, from the platform and from peers. */
 import type { IDisposable } from "../disposable.ts";
 import { DisposableStore } from "../disposable.ts";
 import { Emitter } from "../emitter.ts";
@@ -22,10 +22,10 @@
   IRandom,
 } from "./services.ts";
 
-/** How often the age of the lists is written to the metrics, milliseconds. */
-const GAUGE_EVERY = 1_000;
+/** How often the gauges of the lists are updated, milliseconds. */
+const GAUGE_INTERVAL = 1_000;
 
-/** What the service needs. */
+/** Dependencies of {@link PlanListService}. */
 export interface IPlanListPorts {
   readonly platform: IPlatform;
   readonly clock: IClock;
@@ -43,15 +43,15 @@
 /** Keeps a {@link PlanBook} up to date. */
 export class PlanListService implements IDisposable {
   readonly #ports: IPlanListPorts;
-  readonly #book = new PlanBook();
+  readonly #plans = new PlanBook();
   readonly #owned = new DisposableStore();
   readonly #adopted = this.#owned.add(new Emitter<IListText>());
-  readonly #unreadable = new Map<string, readonly IFinding[]>();
+  readonly #unknownObjects = new Map<string, readonly IFinding[]>();
   #confirmedAt: MonotonicTime | null = null;
   #hasAskedPlatform = false;
   #hasAskedPeers = false;
 
-  /** Fires each list that comes into force. */
+  /** Fires for each list that comes into force. */
   readonly onAdopted = this.#adopted.event;
 
   constructor(ports: IPlanListPorts) {
@@ -59,17 +59,17 @@
   }
 
   get plans(): PlanBook {
-    return this.#book;
+    return this.#plans;
   }
 
   /**
    * Whether callers may be served by these lists: both are known, and platform
-   * and peers have been asked. A daemon that served by the first answer
-   * could serve by a stale read while its neighbours hold a newer list.
+   * and peers have been asked. A daemon that trusted the first answer alone
+   * could serve by a stale read while other daemons hold a newer list.
    */
   get isReady(): boolean {
     return (
-      this.#book.isComplete && this.#hasAskedPlatform && this.#hasAskedPeers
+      this.#plans.isComplete && this.#hasAskedPlatform && this.#hasAskedPeers
     );
   }
 
@@ -80,17 +80,20 @@
     return confirmedAt === null ? null : Math.round(now - confirmedAt);
   }
 
-  /** Versions in force, for peers. */
+  /** Versions in force, to be sent to peers; 0 where none is known. */
   get versions(): readonly IListVersion[] {
     return Object.values(PlanListName).map((list) => ({
       list,
-      version: this.#book.version(list) ?? 0,
+      version: this.#plans.version(list) ?? 0,
     }));
   }
 
-  /** Everything wrong with the lists, and with objects of their kind. */
+  /** Problems with the lists and with other objects of their kind. */
   get findings(): readonly IFinding[] {
-    return [...this.#book.findings, ...[...this.#unreadable.values()].flat()];
+    return [
+      ...this.#plans.findings,
+      ...[...this.#unknownObjects.values()].flat(),
+    ];
   }
 
   /** Follows the platform until disposed. */
@@ -99,36 +102,36 @@
       timing,
       events: {
         isWatcher: () => duty.isWatcher(),
-        changed: (object) => this.#take(object),
-        listed: (objects) => this.#takeAll(objects),
-        confirmed: () => this.#confirm(),
-        failed: (detail) => this.#noteFailure(detail),
+        changed: (object) => this.#handleObject(object),
+        listed: (objects) => this.#handleListed(objects),
+        confirmed: () => this.#handleConfirmed(),
+        failed: (detail) => this.#handleFailure(detail),
       },
     });
     this.#owned.add(follower);
     this.#owned.add(
-      this.#ports.clock.every(GAUGE_EVERY, () => this.#writeGauges()),
+      this.#ports.clock.every(GAUGE_INTERVAL, () => this.#updateGauges()),
     );
-    this.#noteUnknown();
+    this.#updateUnknownAlarm();
     void follower.run();
   }
 
-  /** Says that every peer in reach has been asked, or that there is none. */
+  /** Records that all reachable peers were asked, or that there are none. */
   markPeersAsked(): void {
     this.#hasAskedPeers = true;
   }
 
-  /** Takes a list from any source; older versions are ignored. */
+  /** Accepts a list from any source; older versions are ignored. */
   offer(text: IListText): Adoption {
     const { list, version } = text;
-    const adoption = this.#book.offer(text);
+    const adoption = this.#plans.offer(text);
     if (adoption === Adoption.Adopted) {
       this.#ports.log.info("plan_list_adopted", { list, version });
-      this.#noteUnknown();
-      this.#noteAccounts();
+      this.#updateUnknownAlarm();
+      this.#updateAccountsAlarm();
       this.#adopted.fire(text);
     }
-    this.#noteRefusal(list, adoption);
+    this.#reportRefusal(list, adoption);
     return adoption;
   }
 
@@ -136,13 +139,13 @@
     this.#owned.dispose();
   }
 
-  #takeAll(objects: readonly IPlatformObject[]): void {
-    this.#unreadable.clear();
-    objects.forEach((object) => this.#take(object));
-    this.#noteBehind(objects);
+  #handleListed(objects: readonly IPlatformObject[]): void {
+    this.#unknownObjects.clear();
+    objects.forEach((object) => this.#handleObject(object));
+    this.#updateBehindAlarm(objects);
   }
 
-  #take(object: IPlatformObject): void {
+  #handleObject(object: IPlatformObject): void {
     const text = parseListObject(object);
     if (text.isOk()) {
       this.offer(text.value);
@@ -151,74 +154,75 @@
     const list = listNamed(object.name);
     const { version } = object;
     if (list === null) {
-      this.#unreadable.set(object.name, text.error);
+      this.#unknownObjects.set(object.name, text.error);
       return;
     }
     const refused = { version, findings: text.error };
-    this.#noteRefusal(list, this.#book.refuse(list, refused));
+    this.#reportRefusal(list, this.#plans.refuse(list, refused));
   }
 
-  #confirm(): void {
+  #handleConfirmed(): void {
     this.#confirmedAt = this.#ports.clock.now();
     this.#hasAskedPlatform = true;
     this.#ports.alarms.set(AlarmName.PlanListsUnconfirmed, null);
   }
 
-  #noteFailure(detail: string): void {
+  #handleFailure(detail: string): void {
     this.#hasAskedPlatform = true;
     this.#ports.alarms.set(AlarmName.PlanListsUnconfirmed, detail);
   }
 
   /**
-   * Compares what the platform holds with what is in force. One stale read
-   * shows the same picture and passes; a platform restored from an older copy
-   * stays behind until an operator acts.
+   * Raises an alarm while the platform does not hold the lists in force.
+   * After a stale read the alarm clears by itself; after the platform was
+   * restored from an older copy it stays until an operator acts.
    */
-  #noteBehind(objects: readonly IPlatformObject[]): void {
+  #updateBehindAlarm(objects: readonly IPlatformObject[]): void {
     const behind = this.versions.filter(({ list, version }) => {
       const object = objects.find(({ name }) => name === list);
       const text = object ? parseListObject(object) : null;
-      const known = this.#book.text(list);
+      const inForce = this.#plans.text(list);
       return text?.isOk()
         ? text.value.version < version ||
-            (text.value.version === version && text.value.text !== known?.text)
+            (text.value.version === version &&
+              text.value.text !== inForce?.text)
         : object === undefined && version > 0;
     });
     const names = behind.map(({ list, version }) => `${list}=${version}`);
-    const detail = `in force, not on the platform: ${names.join(" ")}`;
+    const detail = `in force but not on the platform: ${names.join(" ")}`;
     this.#ports.alarms.set(
       AlarmName.PlatformBehind,
       behind.length === 0 ? null : detail,
     );
   }
 
-  #noteUnknown(): void {
+  #updateUnknownAlarm(): void {
     const missing = this.versions
       .filter(({ version }) => version === 0)
       .map(({ list }) => list);
-    const detail = `no good version known: ${missing.join(" ")}`;
+    const detail = `no valid version known: ${missing.join(" ")}`;
     this.#ports.alarms.set(
       AlarmName.PlanListsUnknown,
       missing.length === 0 ? null : detail,
     );
   }
 
-  #noteAccounts(): void {
-    const [first, ...rest] = this.#book.accountFindings;
+  #updateAccountsAlarm(): void {
+    const [first, ...rest] = this.#plans.accountFindings;
     const more = rest.length === 0 ? "" : ` and ${rest.length} more`;
     const detail = first ? `${formatFinding(first)}${more}` : null;
     this.#ports.alarms.set(AlarmName.CustomerWithoutPlan, detail);
   }
 
-  #noteRefusal(list: PlanListName, adoption: Adoption): void {
+  #reportRefusal(list: PlanListName, adoption: Adoption): void {
     const { alarms, log, metrics } = this.#ports;
     const refused = Object.values(PlanListName).flatMap((name) => {
-      const entry = this.#book.refused(name);
+      const entry = this.#plans.refused(name);
       return entry ? [`${name}=${entry.version}`] : [];
     });
     const detail = refused.length === 0 ? null : refused.join(" ");
     alarms.set(AlarmName.PlanListRefused, detail);
-    const newest = this.#book.refused(list);
+    const newest = this.#plans.refused(list);
     if (adoption !== Adoption.Refused || newest === null) {
       return;
     }
@@ -230,7 +234,7 @@
     }
   }
 
-  #writeGauges(): void {
+  #updateGauges(): void {
     const { metrics } = this.#ports;
     for (const { list, version } of this.versions) {
       metrics.gauge("plan_list_version", version, { list });
--- a/src/common/services/services.ts
+++ b/src/common/services/services.ts
@@ -1,6 +1,6 @@
 /**
- * The ports: what the services of src/common need from the outside. Adapters
- * implement them; the daemon hands them in by constructor.
+ * Ports: the interfaces to the outside that src/common depends on. Adapters
+ * implement them; the daemon passes them in by constructor.
  */
 import type { Option, Result } from "ts-results-es";
 import type { IDisposable } from "../disposable.ts";
@@ -18,55 +18,55 @@
   RequestId,
 } from "../types.ts";
 
-/** Time of this process, and timers on it. */
+/** The process's clocks and timers. */
 export interface IClock {
-  /** Monotonic milliseconds; never goes back, not comparable elsewhere. */
+  /** Monotonic time in milliseconds; comparable only within this process. */
   now(): MonotonicTime;
-  /** Calendar time as milliseconds since 1970; only for people and records. */
+  /** Wall-clock time, milliseconds since 1970; only for people and records. */
   calendar(): number;
-  /** Calls back once after a delay in milliseconds. */
+  /** Calls back once, after a delay in milliseconds. */
   after(delay: number, callback: () => void): IDisposable;
-  /** Calls back repeatedly, each period in milliseconds. */
+  /** Calls back repeatedly, with a period in milliseconds. */
   every(period: number, callback: () => void): IDisposable;
 }
 
-/** Chance, handed in so that tests can seed it. */
+/** Random numbers and identifiers; tests pass a seeded source. */
 export interface IRandom {
   /** A number in [0, 1). */
   next(): number;
-  /** A fresh identifier that no other process will make. */
+  /** A new, globally unique identifier. */
   identifier(): string;
 }
 
-/** A hash that every daemon computes alike. */
+/** A hash function that gives the same result in every daemon. */
 export interface IHash {
-  /** A whole number in [0, 2^32), spread evenly. */
+  /** An integer in [0, 2^32), uniformly distributed. */
   hash(text: string): number;
 }
 
 /**
- * The daemons that this daemon believes live. A hint: another daemon may see
- * others, so nothing that must be unique may rest on it.
+ * The daemons that this daemon considers live. Only a hint: views differ
+ * between daemons, so nothing that must be unique may depend on it.
  */
 export interface ILiveDaemons {
   readonly self: DaemonId;
-  /** Live daemons of this zone, this one always included, sorted. */
+  /** Live daemons of this zone, sorted; always includes this one. */
   readonly inZone: readonly DaemonId[];
   /**
-   * Whether this daemon is one of the `count` of its zone that take a duty.
-   * A daemon that sees no other takes every duty.
+   * Whether this daemon is one of the `count` of its zone assigned to a duty.
+   * A daemon that sees no other is assigned to every duty.
    */
   isChosen(duty: string, count: number): boolean;
   /** Fires after the live daemons of the zone have changed. */
   readonly onChanged: EventSource<void>;
 }
 
-/** The fields of a log line; values are encoded by the adapter. */
+/** The fields of a log line; the adapter encodes the values. */
 export type LogFields = Readonly<
   Record<string, string | number | boolean | null | undefined>
 >;
 
-/** One event a line, as key=value pairs. */
+/** Logs one event per line, as key=value pairs. */
 export interface ILog {
   info(event: string, fields?: LogFields): void;
   warn(event: string, fields?: LogFields): void;
@@ -77,9 +77,9 @@
 export interface IPlatformObject {
   readonly kind: string;
   readonly name: string;
-  /** Rises with each write to any object. */
+  /** Increases with each write to any object. */
   readonly version: number;
-  /** Whatever JSON was written; not checked. */
+  /** The JSON value as stored; not validated. */
   readonly value: unknown;
 }
 
@@ -89,7 +89,7 @@
   Conflict = "conflict",
   /** The platform certainly did not apply the write. */
   NotApplied = "not_applied",
-  /** The answer was lost: the write may have taken effect, or still may. */
+  /** The answer was lost: the write may have taken effect, or may yet. */
   Unknown = "unknown",
 }
 
@@ -104,32 +104,32 @@
   readonly kind: string;
   readonly name: string;
   readonly value: unknown;
-  /** Null: the object must not exist yet. */
+  /** Null if the object must not exist yet. */
   readonly expectedVersion: number | null;
 }
 
-/** What a watch brought: changed objects, and where to go on from. */
+/** Changed objects, and the version to watch or list from next. */
 export interface IWatchResult {
   readonly version: number;
   readonly objects: readonly IPlatformObject[];
-  /** Names of objects that are gone, where the platform tells them. */
+  /** Names of removed objects, where the platform reports them. */
   readonly removed?: readonly string[];
 }
 
-/** Objects with versions, conditional writes and watches. */
+/** A store of versioned objects with conditional writes and watches. */
 export interface IObjectStore {
   read(
     kind: string,
     name: string,
   ): Promise<Result<Option<IPlatformObject>, ICallFailure>>;
   list(kind: string): Promise<Result<IWatchResult, ICallFailure>>;
-  /** Resolves when something of the kind is newer, or empty at the timeout. */
+  /** Resolves with objects newer than `after`, or with none at the timeout. */
   watch(
     kind: string,
     after: number,
     options: { readonly timeout: number; readonly signal: AbortSignal },
   ): Promise<Result<IWatchResult, ICallFailure>>;
-  /** The new version, or why there is none. */
+  /** Resolves with the new version, or with the failure. */
   write(write: IConditionalWrite): Promise<Result<number, IWriteFailure>>;
   remove(
     kind: string,
@@ -143,11 +143,11 @@
   instances(): Promise<Result<readonly IInstance[], ICallFailure>>;
 }
 
-/** What an engine is told to become. */
+/** What an order makes an engine do. */
 export enum OrderKind {
   /** Join a group and load its model. */
   Join = "join",
-  /** Load a model's weights while in no group, to be a warm spare. */
+  /** Load a model's weights while in no group, as a warm spare. */
   Load = "load",
   /** Leave its group and become free. */
   Release = "release",
@@ -159,9 +159,9 @@
   readonly group: GroupId;
   readonly rank: number;
   readonly model: string;
-  /** Addresses of all members, in order of rank. */
+  /** Addresses of all members, by rank. */
   readonly members: readonly string[];
-  /** Milliseconds after which the engine must drop the order unserved. */
+  /** Milliseconds after which the engine must discard the order. */
   readonly validFor: number;
 }
 
@@ -170,14 +170,14 @@
   /** Milliseconds. */
   readonly timeout: number;
   /**
-   * Asked at the last moment before the order's content is written out. A
-   * process may be paused while it connects; the lease it checked before is
-   * then over, and an engine that ignores fencing numbers would obey.
+   * Checked immediately before the order is written to the connection. If the
+   * process is paused while connecting, the lease checked before may have
+   * expired, and an engine that ignores fencing tokens would obey.
    */
   readonly isStillDue: () => boolean;
 }
 
-/** A request as sent to a replica group's first member. */
+/** A request as sent to the member of a group with rank 0. */
 export interface IEngineCall {
   readonly requestId: RequestId;
   readonly group: GroupId;
@@ -185,15 +185,15 @@
   readonly prompt: string;
   readonly maximumTokens: number;
   readonly priority: number;
-  /** Sequence number to go on from; 0 for a new run. */
+  /** Sequence number to resume from; 0 for a new run. */
   readonly resumeFrom: number;
 }
 
-/** One step of an engine's answer. */
+/** One token of an engine's answer. */
 export interface IEngineToken {
   readonly sequence: number;
   readonly text: string;
-  /** True on the last: it ends the answer and carries no text. */
+  /** True on the last token, which ends the answer and has no text. */
   readonly isEnd: boolean;
 }
 
@@ -202,16 +202,16 @@
   readonly requestId: RequestId;
   readonly operation: string;
   readonly body: unknown;
-  /** Milliseconds of silence after which the call is given up. */
+  /** Milliseconds without a response after which the call fails. */
   readonly timeout: number;
   /**
-   * Whether a new connection is made for it: an old one may have gone silent,
-   * and what cannot be sent twice must not be sent into silence.
+   * Whether to open a new connection: an existing one may be dead, and a
+   * request that must not be sent twice must not be lost on it.
    */
   readonly onNewConnection: boolean;
 }
 
-/** Bounds on an engine's answer, and what cancels it. */
+/** Timeouts of an engine's answer, and the signal that cancels it. */
 export interface IGenerateOptions {
   /** Milliseconds. */
   readonly firstTokenWithin: number;
@@ -220,7 +220,7 @@
   readonly signal: AbortSignal;
 }
 
-/** Calls to targets: engine members and plain services. */
+/** Calls to targets: engine instances and plain services. */
 export interface ITargets {
   report(
     address: string,
@@ -232,9 +232,9 @@
     options: IOrderOptions,
   ): Promise<Result<void, ICallFailure>>;
   /**
-   * Streams tokens in batches as they arrive. Batches of one answer are in
-   * order and without gaps; the last token of a whole answer has `isEnd`.
-   * A failure ends the iteration as its last value.
+   * Streams tokens in batches as they arrive, in order and without gaps. The
+   * last token of a complete answer has `isEnd`; a failure is the last value
+   * of the iteration.
    */
   generate(
     address: string,
@@ -248,13 +248,13 @@
   ): Promise<Result<unknown, ICallFailure>>;
 }
 
-/** A plan list's version, as peers tell one another. */
+/** A plan list's version, as exchanged between peers. */
 export interface IListVersion {
   readonly list: PlanListName;
   readonly version: number;
 }
 
-/** Where a daemon is reached by its peers and by operators. */
+/** A daemon's addresses for its peers and for operators. */
 export interface IDaemonEntry {
   readonly daemon: string;
   readonly instance: InstanceId;
@@ -263,9 +263,9 @@
   readonly operationsAddress: string;
 }
 
-/** Counters and latencies, exposed to whoever collects them. */
+/** Counters, latencies and gauges, exposed for collection. */
 export interface IMetrics {
-  /** Adds to a counter. */
+  /** Increments a counter. */
   count(name: string, labels?: Readonly<Record<string, string>>): void;
   /** Records a duration in milliseconds. */
   observe(
@@ -273,7 +273,7 @@
     milliseconds: number,
     labels?: Readonly<Record<string, string>>,
   ): void;
-  /** Sets a level. */
+  /** Sets a gauge. */
   gauge(
     name: string,
     value: number,
