--- a/src/common/services/forward_service.ts
+++ b/src/common/services/forward_service.ts
@@ -14,9 +14,9 @@
 const SHUTDOWN_RETRY_AFTER = 500;
 
 /**
- * Serves from this zone's own groups only, so that a request is forwarded at
- * most once. With a second hop, requests could circulate between two full zones
- * and raise the load in both without any new caller.
+ * Serves from this zone's own groups only: a forwarded request is not forwarded
+ * again. With a second hop, requests could circulate between two full zones and
+ * raise the load in both without any new caller.
  */
 export class ForwardService {
   readonly #admission: AdmissionService;
--- a/src/common/services/group_directory.ts
+++ b/src/common/services/group_directory.ts
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Records that the caller has consumed the tokens and reading goes on. */
+  /** Records that reading goes on: a pause by the caller is not the target's. */
   recordReadResumed(target: IChosenTarget): void {
     const use = this.#inUse.get(target);
     if (use !== undefined) {
--- a/src/common/services/services.ts
+++ b/src/common/services/services.ts
@@ -108,7 +108,7 @@
   readonly expectedVersion: number | null;
 }
 
-/** Changed objects, and the version to watch or list from next. */
+/** Changed objects, and the version to watch from next. */
 export interface IWatchResult {
   readonly version: number;
   readonly objects: readonly IPlatformObject[];
--- a/src/common/services/zone_domains.ts
+++ b/src/common/services/zone_domains.ts
@@ -56,13 +56,13 @@
   }
 
   #add(domain: DomainName): void {
-    const service = new DomainController(this.#ports, {
+    const controller = new DomainController(this.#ports, {
       ...this.#options,
       domain,
       wanted: () => this.#options.wanted(this.#countEngines(domain)),
     });
-    this.#domains.set(domain, service);
-    service.start();
+    this.#domains.set(domain, controller);
+    controller.start();
   }
 
   #countEngines(domain: DomainName): number {
