--- a/src/common/services/group_directory.ts
+++ b/src/common/services/group_directory.ts
@@ -119,7 +119,7 @@
     }
   }
 
-  /** Records that reading goes on: a pause by the caller is not the target's. */
+  /** Records that reading resumes: the caller's pause is not the target's. */
   recordReadResumed(target: IChosenTarget): void {
     const use = this.#inUse.get(target);
     if (use !== undefined) {
