--- a/src/common/services/admission_service.ts
+++ b/src/common/services/admission_service.ts
@@ -63,7 +63,7 @@
       this.#parts.clock.now(),
     );
     if (planRefusal !== null) {
-      const detail = `the limits of plan ${plan.name} are reached`;
+      const detail = `plan ${plan.name} is used up`;
       return this.#countRefusal(
         notRun(planRefusal.reason, detail, planRefusal.retryAfter),
       );
@@ -124,7 +124,7 @@
         if (scheduler.cancel(work)) {
           this.#resolveWaiting(
             work,
-            notRun(Reason.CallerLeft, "the caller disconnected"),
+            notRun(Reason.CallerLeft, "the caller is gone"),
           );
         }
       };
@@ -154,7 +154,7 @@
         this.#resolveWaiting(action.work, null);
       } else {
         const { reason, retryAfter } = action;
-        const detail = "the request could not be answered in time";
+        const detail = "it could not be answered in time";
         this.#resolveWaiting(action.work, notRun(reason, detail, retryAfter));
       }
     }
--- a/src/common/services/at_most_once_runner.ts
+++ b/src/common/services/at_most_once_runner.ts
@@ -164,7 +164,7 @@
     const expired = new Promise<RunResult>((resolve) => {
       const remaining = Math.max(0, request.deadline - clock.now());
       const timer = clock.after(remaining, () => {
-        const detail = "still running at the deadline; retry with the same key";
+        const detail = "still running at its deadline; ask again with its key";
         const retryAfter = STILL_RUNNING_RETRY_AFTER;
         resolve(Err(outcomeUnknown(Reason.DeadlinePassed, detail, retryAfter)));
       });
--- a/src/common/services/call_dispatcher.ts
+++ b/src/common/services/call_dispatcher.ts
@@ -46,7 +46,7 @@
   ): Promise<Result<CallerAnswer, IRefusal>> {
     const { plan } = request.account;
     if (!plan.services.includes(request.service.name)) {
-      const detail = `plan ${plan.name} does not include ${request.service.name}`;
+      const detail = `plan ${plan.name} has no ${request.service.name}`;
       return Err(notRun(Reason.NotInPlan, detail));
     }
     this.#inFlight += 1;
--- a/src/common/services/engine_runner.ts
+++ b/src/common/services/engine_runner.ts
@@ -179,7 +179,7 @@
     const { groups, targets } = this.#parts;
     if (target.group === null) {
       const kind = CallFailureKind.NotSent;
-      yield Err({ kind, detail: `${target.id} is not a replica group` });
+      yield Err({ kind, detail: `${target.id} is no replica group` });
       return;
     }
     const { request } = progress;
@@ -224,7 +224,7 @@
     const { request, mayHaveRun } = progress;
     const { name } = request.service;
     if (request.signal.aborted) {
-      return outcomeUnknown(Reason.CallerLeft, "the caller disconnected");
+      return outcomeUnknown(Reason.CallerLeft, "the caller is gone");
     }
     if (progress.isDeadlinePassed) {
       const detail = "the answer was not whole by its deadline";
@@ -232,10 +232,10 @@
       return createRefusal(Reason.DeadlinePassed, detail);
     }
     if (!mayHaveRun) {
-      const detail = `no complete replica group of ${name} accepted the request`;
+      const detail = `no complete replica group of ${name} took the request`;
       return notRun(Reason.NoReplica, detail, NO_REPLICA_RETRY_AFTER);
     }
-    const detail = `the replica groups of ${name} did not complete the answer`;
+    const detail = `the replica groups of ${name} broke off`;
     return outcomeUnknown(Reason.TargetLost, detail, NO_REPLICA_RETRY_AFTER);
   }
 }
--- a/src/common/services/forward_service.ts
+++ b/src/common/services/forward_service.ts
@@ -54,8 +54,7 @@
     }
     const request = this.#resolve(forwarded, signal);
     if (request === null) {
-      const detail =
-        "the account, service or operation is unknown in this zone";
+      const detail = "the account, service or operation is not known here";
       yield Err(notRun(Reason.NoSuchOperation, detail));
       return;
     }
--- a/src/common/services/plain_service_runner.ts
+++ b/src/common/services/plain_service_runner.ts
@@ -68,9 +68,7 @@
         return Ok({ body: answer.value });
       }
       if (request.signal.aborted) {
-        return Err(
-          outcomeUnknown(Reason.CallerLeft, "the caller disconnected"),
-        );
+        return Err(outcomeUnknown(Reason.CallerLeft, "the caller is gone"));
       }
       avoid.add(target.id);
       if (!(await retries.waitForRetry(request))) {
--- a/src/common/services/plan_list_service.ts
+++ b/src/common/services/plan_list_service.ts
@@ -189,7 +189,7 @@
         : object === undefined && version > 0;
     });
     const names = behind.map(({ list, version }) => `${list}=${version}`);
-    const detail = `in force but not on the platform: ${names.join(" ")}`;
+    const detail = `in force, not on the platform: ${names.join(" ")}`;
     this.#ports.alarms.set(
       AlarmName.PlatformBehind,
       behind.length === 0 ? null : detail,
@@ -200,7 +200,7 @@
     const missing = this.versions
       .filter(({ version }) => version === 0)
       .map(({ list }) => list);
-    const detail = `no valid version known: ${missing.join(" ")}`;
+    const detail = `no good version known: ${missing.join(" ")}`;
     this.#ports.alarms.set(
       AlarmName.PlanListsUnknown,
       missing.length === 0 ? null : detail,
--- a/src/common/services/run_record_service.ts
+++ b/src/common/services/run_record_service.ts
@@ -190,7 +190,7 @@
       return { kind: "again", expectedVersion: null };
     }
     if (found.value === "unreadable") {
-      const detail = "the run record stored under this key is invalid";
+      const detail = "the run record under this key does not parse";
       const start = Err(outcomeUnknown(Reason.OutcomeUnknown, detail));
       return { kind: "start", start };
     }
@@ -256,13 +256,13 @@
       return Err(notRun(Reason.KeyReused, detail));
     }
     case Finding.InProgress: {
-      const detail = "a call with this key is in progress; retry later";
+      const detail = "a call with this key is in progress; ask again for it";
       const retryAfter = IN_PROGRESS_RETRY_AFTER;
       return Err(outcomeUnknown(Reason.InProgress, detail, retryAfter));
     }
     case Finding.Unknown: {
       const detail =
-        "a call with this key may have run; check at the service whether it " +
+        "a call with this key may have run; look at the service whether it " +
         "did, and use a new key only if it did not";
       return Err(outcomeUnknown(Reason.OutcomeUnknown, detail));
     }
