--- a/src/entry/entry_process.ts
+++ b/src/entry/entry_process.ts
@@ -31,39 +31,39 @@
 const MILLISECONDS_A_SECOND = 1_000;
 
 /**
- * Pause between an answered watch of the targets and the next, milliseconds: a
- * leaving target may get work for two seconds. The lease holder heals groups
- * by the list and hears of changes sooner; each answered watch is paid for.
+ * Pause after an answered watch of the targets, milliseconds, as each answered
+ * watch has a cost. A leaving target may receive calls for two seconds; the
+ * lease holder repairs groups by the list and needs changes sooner.
  */
 const TARGETS_PAUSE = 900;
 const HOLDER_TARGETS_PAUSE = 200;
 
 /**
- * How long the holder's watches wait, milliseconds: the others go by its word,
- * so it must be young.
+ * How long the holder's watches wait, milliseconds: other processes rely on
+ * its updates, so they must be recent.
  */
 const HOLDER_WATCH_TIME = 400;
 const WATCH_TIME = 2_500;
 
-/** Entries that lapsed in an outage are back within two seconds of its end. */
-const REAPPEAR_TIME = 2_300;
+/** Milliseconds; entries that expired in an outage are back 2 s after it. */
+const REAPPEARANCE_TIME = 2_300;
 
-/** How often missing targets and unused state are looked at, milliseconds. */
-const HOUSEKEEPING_PERIOD = 250;
+/** How often expired targets and unused state are removed, milliseconds. */
+const CLEANUP_PERIOD = 250;
 
 /**
- * How long a stopping process goes on taking connections, milliseconds: the
- * balancer asks once a second and takes it out after two misses.
+ * How long a stopping process still accepts calls, milliseconds: the balancer
+ * probes once a second and removes a process after two failures.
  */
-const TAKEN_OUT_AFTER = 3_000;
+const BALANCER_REMOVAL_TIME = 3_000;
 
-/** Before the end of the grace time by which all must be over, milliseconds. */
+/** Calls must end this long before the grace time does, milliseconds. */
 const GRACE_MARGIN = 700;
 
-/** When to come back to a process that does not know its targets yet. */
+/** Retry-after while the targets are not known yet, milliseconds. */
 const STARTING_RETRY_AFTER = 500;
 
-/** One running entry process. */
+/** A running entry process. */
 export class EntryProcess {
   readonly #settings: EntrySettings;
   readonly #log: BoundedLog;
@@ -74,12 +74,12 @@
   readonly #store: ObjectStore;
   readonly #client = new TargetClient();
   readonly #configuration: ActiveConfiguration;
-  readonly #targets = new TargetRegistry(decodeTarget, REAPPEAR_TIME);
+  readonly #targets = new TargetRegistry(decodeTarget, REAPPEARANCE_TIME);
   readonly #groups = new ServingGroups();
   readonly #plainTargets = new PlainTargetSelector();
   readonly #followers: readonly ObjectFollower[];
   readonly #relay: StoreRelay;
-  readonly #control: FleetCoordinator;
+  readonly #coordinator: FleetCoordinator;
   readonly #models: ModelCalls;
   readonly #plain: PlainCalls;
   readonly #ingress: IngressServer;
@@ -103,9 +103,9 @@
       targetList,
       targets: this.#targets,
       clock: this.#clock,
-      onTargetsUpdated: () => this.#control.handleTargetsChanged(),
+      onTargetsUpdated: () => this.#coordinator.handleTargetsChanged(),
     });
-    const retries = this.#createRepeats();
+    const retries = this.#createRetryAllowances();
     const shared = {
       sender: this.#client,
       retries,
@@ -119,23 +119,23 @@
       ...shared,
       groups: this.#groups,
       service: (name) => this.#configuration.service(name),
-      processes: () => this.#control.processCount,
-      onGroupsSuspected: () => this.#control.handleGroupsSuspected(),
+      processes: () => this.#coordinator.processCount,
+      onGroupsSuspected: () => this.#coordinator.handleGroupsSuspected(),
     });
     this.#plain = new PlainCalls({
       ...shared,
       targets: this.#plainTargets,
       readyTargets: (service) => this.#targets.ready(service),
     });
-    this.#control = this.#createControl();
+    this.#coordinator = this.#createCoordinator();
     this.#ingress = new IngressServer({
-      handler: { handle: (call, reply) => this.#take(call, reply) },
+      handler: { handle: (call, reply) => this.#submit(call, reply) },
       routes: () => this.#configuration.routes,
       clock: this.#clock,
       random: this.#random,
     });
     this.#inner = new InnerServer({
-      exchange: (word) => this.#control.answerReport(word),
+      exchange: (report) => this.#coordinator.answerReport(report),
       metrics: () => this.#metrics.expose(),
     });
   }
@@ -146,18 +146,18 @@
     return entry;
   }
 
-  /** Whether callers can be served: what they ask for and who serves it. */
+  /** Whether calls are accepted, and the routes and targets are known. */
   get isReady(): boolean {
     const isKnown = this.#followers.every(({ isLoaded }) => isLoaded);
     return !this.#isStopping && isKnown && this.#configuration.routes !== null;
   }
 
-  /** The settings file was named to have changed. */
+  /** Logs that changed settings take effect at the next start. */
   handleReload(): void {
     this.#log.info("reload", { in_force: "at the next start" });
   }
 
-  /** Finishes what is in flight, gives the lease back, and stops. */
+  /** Releases the lease, finishes calls in flight, and stops. */
   async stop(): Promise<void> {
     if (this.#isStopping) {
       return;
@@ -168,14 +168,14 @@
     this.#ingress.startDraining();
     const grace = this.#settings.bounds.grace_s * MILLISECONDS_A_SECOND;
     const end = stoppedAt + grace - GRACE_MARGIN;
-    await this.#control.releaseLease();
-    await this.#until(() => {
+    await this.#coordinator.releaseLease();
+    await this.#waitUntil(() => {
       const now = this.#clock.now();
-      const isOut = now - stoppedAt >= TAKEN_OUT_AFTER;
-      if (isOut) {
+      const isRemoved = now - stoppedAt >= BALANCER_REMOVAL_TIME;
+      if (isRemoved) {
         this.#ingress.refuseNewCalls();
       }
-      return now >= end || (isOut && this.#ingress.inFlight === 0);
+      return now >= end || (isRemoved && this.#ingress.inFlight === 0);
     });
     this.#log.info("stopped", { in_flight: this.#ingress.inFlight });
     this.#ingress.close();
@@ -195,18 +195,16 @@
       follower.start();
       this.#owned.add(follower);
     }
-    this.#control.start();
-    this.#owned.add(this.#control);
+    this.#coordinator.start();
+    this.#owned.add(this.#coordinator);
     this.#owned.add(
       this.#clock.every(CHECK_PERIOD, () => this.#models.check()),
     );
-    this.#owned.add(
-      this.#clock.every(HOUSEKEEPING_PERIOD, () => this.#keepHouse()),
-    );
+    this.#owned.add(this.#clock.every(CLEANUP_PERIOD, () => this.#cleanUp()));
     this.#log.info("started", { callers: listen.callers, inner });
   }
 
-  #take(call: ICall, reply: ICallReply): () => void {
+  #submit(call: ICall, reply: ICallReply): () => void {
     this.#hasCalls = true;
     if (!this.#followers.every(({ isLoaded }) => isLoaded)) {
       reply.refuse({
@@ -244,18 +242,18 @@
     return new ObjectFollower(this.#followerParts, {
       kind: ObjectKind.targets,
       pause: () =>
-        this.#control.isHolder ? HOLDER_TARGETS_PAUSE : TARGETS_PAUSE,
+        this.#coordinator.isHolder ? HOLDER_TARGETS_PAUSE : TARGETS_PAUSE,
       watchTime: () => this.#watchTime,
       onChanged: (change) => {
         this.#targets.applyStoreChanges(change, this.#clock.now());
         this.#relay.recordTargetChanges(change);
-        this.#control.handleTargetsChanged();
+        this.#coordinator.handleTargetsChanged();
       },
     });
   }
 
   get #watchTime(): number {
-    return this.#control.isHolder ? HOLDER_WATCH_TIME : WATCH_TIME;
+    return this.#coordinator.isHolder ? HOLDER_WATCH_TIME : WATCH_TIME;
   }
 
   get #followerParts(): IFollowerParts {
@@ -272,10 +270,10 @@
     if (table !== null) {
       this.#ingress.setLimits(table.configuration.limits);
     }
-    this.#control.handleTargetsChanged();
+    this.#coordinator.handleTargetsChanged();
   }
 
-  #createRepeats(): ServiceRetryAllowances {
+  #createRetryAllowances(): ServiceRetryAllowances {
     const { bounds, first_start } = this.#settings;
     return new ServiceRetryAllowances(
       {
@@ -284,13 +282,13 @@
         slack: bounds.repeat_slack,
       },
       {
-        processes: () => this.#control.processCount,
+        processes: () => this.#coordinator.processCount,
         replacesAnotherSince: first_start ? null : this.#clock.now(),
       },
     );
   }
 
-  #createControl(): FleetCoordinator {
+  #createCoordinator(): FleetCoordinator {
     const { bounds, instance, listen, first_start } = this.#settings;
     const address = `${instance.address}:${listen.inner_port}`;
     return new FleetCoordinator(
@@ -326,14 +324,14 @@
     );
   }
 
-  #keepHouse(): void {
+  #cleanUp(): void {
     if (this.#targets.removeExpired(this.#clock.now())) {
-      this.#control.handleTargetsChanged();
+      this.#coordinator.handleTargetsChanged();
     }
     this.#plainTargets.keepOnly(this.#targets.all);
   }
 
-  #until(condition: () => boolean): Promise<void> {
+  #waitUntil(condition: () => boolean): Promise<void> {
     return new Promise((resolve) => {
       const timer = this.#clock.every(CHECK_PERIOD, () => {
         if (condition()) {
--- a/src/entry/fleet_coordinator.ts
+++ b/src/entry/fleet_coordinator.ts
@@ -1,6 +1,6 @@
 /**
- * The part of a process that knows which groups serve: by ordering them while
- * it holds the lease, else from the holder, else from the platform's list.
+ * Tracks which groups serve: the lease holder orders them itself; other
+ * processes learn them from the holder, or else from the platform's list.
  */
 import type { ActiveConfiguration } from "../common/calls/active_configuration.ts";
 import type { IModelDemand } from "../common/calls/model_calls.ts";
@@ -35,25 +35,25 @@
 } from "../common/services/services.ts";
 import type { ZoneName } from "../common/types.ts";
 
-/** How often the belief about groups is renewed, milliseconds. */
+/** How often the known groups are refreshed, milliseconds. */
 const REFRESH_PERIOD = 100;
 
 /**
- * What a waiting call adds to its model's demand: a queue of one batch of
- * twelve or so is to be worked off by about one group more.
+ * Groups that each waiting call adds to its model's demand: a queue of one
+ * batch, about twelve calls, adds about one group.
  */
 const GROUPS_PER_WAITING_CALL = 0.08;
 
-/** Separates a process's address from its run in its name. */
+/** Separates the address from the run identifier in a process name. */
 const NAME_SEPARATOR = "/";
 
-/** What is told and heard of the store. */
+/** Exchanges updates of the store with other processes. */
 export type IStoreRelay = Pick<
   StoreRelay,
   "versions" | "updateFor" | "applyUpdate"
 >;
 
-/** What the control needs. */
+/** Dependencies of the coordinator. */
 export interface IFleetCoordinatorParts {
   readonly store: IObjectStore;
   readonly engines: IEngineClient;
@@ -65,42 +65,42 @@
   readonly configuration: ActiveConfiguration;
   readonly targets: TargetRegistry;
   readonly groups: ServingGroups;
-  /** What this process's calls ask of each model. */
+  /** Demand of this process's calls for each model. */
   readonly modelDemand: () => readonly IModelDemand[];
-  /** Groups that this process found standing still. */
+  /** Groups that this process considers stalled. */
   readonly suspects: () => readonly string[];
-  /** Whether this process has had a call. */
+  /** Whether this process has received a call. */
   readonly hasCalls: () => boolean;
-  /** Passes on what the store says, between this process and the holder. */
+  /** Relays updates of the store between this process and the holder. */
   readonly relay: IStoreRelay;
-  /** @param lost - groups that the holder has given up */
+  /** @param lost - groups that the holder has abandoned */
   readonly onGroupsChanged: (lost: readonly string[]) => void;
 }
 
-/** How this process takes part. */
+/** Options of the coordinator of one process. */
 export interface IFleetCoordinatorOptions {
-  /** Where the other processes reach this one. */
+  /** Address at which other processes reach this one. */
   readonly address: string;
   readonly zone: ZoneName;
   readonly isFirstStart: boolean;
   readonly bounds: IReplicaBounds;
 }
 
-/** One process's part in ordering the engines. */
+/** Orders the engines while it holds the lease; else follows the holder. */
 export class FleetCoordinator implements IDisposable {
   readonly #parts: IFleetCoordinatorParts;
   readonly #options: IFleetCoordinatorOptions;
   readonly #owned = new DisposableStore();
   readonly #lease: LeaseManager;
-  readonly #listener: ExchangeClient;
-  readonly #desk: ExchangeServer;
+  readonly #exchangeClient: ExchangeClient;
+  readonly #exchangeServer: ExchangeServer;
   readonly #services = new Map<string, ReplicaService>();
-  readonly #numbers = new GroupNumbers();
-  readonly #processes = new ProcessCount();
+  readonly #groupNumbers = new GroupNumbers();
+  readonly #processCount = new ProcessCount();
   /** The lease epoch under which the services were started. */
   #servicesEpoch: number | null = null;
-  /** Groups given up by the holder, as last heard. */
-  #givenUp: ReadonlySet<string> = new Set();
+  /** Groups abandoned by the holder, as last reported. */
+  #abandonedGroups: ReadonlySet<string> = new Set();
 
   constructor(
     parts: IFleetCoordinatorParts,
@@ -114,43 +114,43 @@
       store: parts.store,
       clock: parts.clock,
       log: parts.log,
-      isHolderHealthy: () => this.#listener.isHolderHealthy,
-      onAcquired: () => this.#take(),
-      onLost: () => this.#releaseIfReplaced(),
+      isHolderHealthy: () => this.#exchangeClient.isHolderHealthy,
+      onAcquired: () => this.#startServices(),
+      onLost: () => this.#stopServicesIfReplaced(),
     });
-    this.#listener = new ExchangeClient({
+    this.#exchangeClient = new ExchangeClient({
       link: parts.link,
       clock: parts.clock,
       log: parts.log,
       holderAddress: () => this.#holderAddress(),
-      report: (tableVersion) => this.#word(tableVersion),
+      report: (tableVersion) => this.#composeReport(tableVersion),
       onReply: () => this.#refresh(),
-      onStoreUpdate: (word) => parts.relay.applyUpdate(word),
-      onOtherProcess: (process) => this.#otherAnswers(process),
+      onStoreUpdate: (update) => parts.relay.applyUpdate(update),
+      onOtherProcess: (process) => this.#handleNotHolder(process),
     });
-    this.#desk = new ExchangeServer({
+    this.#exchangeServer = new ExchangeServer({
       clock: parts.clock,
-      isActiveHolder: () => this.#isInOffice,
+      isActiveHolder: () => this.#isActiveHolder,
       mayOrder: () => this.#lease.mayOrder,
       leaseEpoch: () => this.#lease.epoch,
-      ownReport: () => this.#word(0),
+      ownReport: () => this.#composeReport(0),
       storeUpdate: (versions) => parts.relay.updateFor(versions),
-      onGroupsSuspected: (groups) => this.#suspect(groups),
+      onGroupsSuspected: (groups) => this.#suspectGroups(groups),
     });
   }
 
   start(): void {
     this.#lease.start();
-    this.#listener.start();
+    this.#exchangeClient.start();
     this.#owned.add(this.#lease);
-    this.#owned.add(this.#listener);
+    this.#owned.add(this.#exchangeClient);
     this.#owned.add(
       this.#parts.clock.every(REFRESH_PERIOD, () => this.#refresh()),
     );
   }
 
   dispose(): void {
-    this.#release();
+    this.#stopServices();
     this.#owned.dispose();
   }
 
@@ -159,56 +159,57 @@
     return this.#lease.isHolding;
   }
 
-  /** Processes that take calls, as far as is known. */
+  /** Number of processes that take calls, as far as known. */
   get processCount(): number {
-    return this.#processes.update(
-      this.#processesHeard,
+    return this.#processCount.update(
+      this.#reportingProcesses,
       this.#parts.clock.now(),
     );
   }
 
-  /** Processes heard of at this moment; 0 when nothing is known of them. */
-  get #processesHeard(): number {
-    if (this.#isInOffice) {
-      return this.#desk.reports.length;
+  /** Number of processes that report at present; 0 when unknown. */
+  get #reportingProcesses(): number {
+    if (this.#isActiveHolder) {
+      return this.#exchangeServer.reports.length;
     }
-    return this.#listener.isFresh ? this.#listener.processes : 0;
+    return this.#exchangeClient.isFresh ? this.#exchangeClient.processes : 0;
   }
 
-  /** Answers another process. */
-  answerReport(word: IProcessReport): Promise<ExchangeAnswer> {
-    return this.#desk.answer(word);
+  /** Answers the report of another process. */
+  answerReport(report: IProcessReport): Promise<ExchangeAnswer> {
+    return this.#exchangeServer.answer(report);
   }
 
   handleTargetsChanged(): void {
     this.#refresh();
   }
 
-  /** Groups were found standing still here. */
+  /** Passes on groups that this process considers stalled. */
   handleGroupsSuspected(): void {
-    if (this.#isInOffice) {
-      this.#suspect(this.#parts.suspects());
+    if (this.#isActiveHolder) {
+      this.#suspectGroups(this.#parts.suspects());
     } else {
-      this.#listener.reportNow();
+      this.#exchangeClient.reportNow();
     }
   }
 
   async releaseLease(): Promise<void> {
-    if (this.#isInOffice) {
-      const { groups, abandonedGroups, othersInFlight, reports } = this.#desk;
+    if (this.#isActiveHolder) {
+      const { groups, abandonedGroups, othersInFlight, reports } =
+        this.#exchangeServer;
       const processes = reports.length;
-      this.#listener.useTable({
+      this.#exchangeClient.useTable({
         groups,
-        abandonedGroups: abandonedGroups,
-        othersInFlight: othersInFlight,
+        abandonedGroups,
+        othersInFlight,
         processes,
       });
     }
-    this.#release();
+    this.#stopServices();
     await this.#lease.release();
   }
 
-  get #isInOffice(): boolean {
+  get #isActiveHolder(): boolean {
     const services = [...this.#services.values()];
     return services.length > 0 && services.every((one) => one.hasReconciled);
   }
@@ -221,7 +222,7 @@
     return holder.split(NAME_SEPARATOR)[0] ?? null;
   }
 
-  #word(tableVersion: number): IProcessReport {
+  #composeReport(tableVersion: number): IProcessReport {
     return {
       process: this.#lease.process,
       hasCalls: this.#parts.hasCalls(),
@@ -233,31 +234,31 @@
     };
   }
 
-  #suspect(groups: readonly string[]): void {
+  #suspectGroups(groups: readonly string[]): void {
     for (const service of this.#services.values()) {
       service.suspectGroups(groups);
     }
   }
 
-  /** Where the holder was, another run of the process answers: it has ended. */
-  #otherAnswers(process: string): void {
+  /** Another run answers at the holder's address: the holder has ended. */
+  #handleNotHolder(process: string): void {
     const { holder } = this.#lease;
     const [address] = process.split(NAME_SEPARATOR);
-    const isSamePlace = holder?.split(NAME_SEPARATOR)[0] === address;
-    if (holder !== null && isSamePlace && holder !== process) {
+    const isSameAddress = holder?.split(NAME_SEPARATOR)[0] === address;
+    if (holder !== null && isSameAddress && holder !== process) {
       this.#lease.handleHolderEnded(holder);
     }
   }
 
   /**
-   * The lease was acquired. Regained under the same epoch, nobody else has
-   * acted in between, and what is known of the groups still holds.
+   * Starts the services for an acquired lease. A lease regained under the same
+   * epoch keeps them, since no other process has ordered engines in between.
    */
-  #take(): void {
+  #startServices(): void {
     if (this.#servicesEpoch === this.#lease.epoch) {
       return;
     }
-    this.#release();
+    this.#stopServices();
     this.#servicesEpoch = this.#lease.epoch;
     for (const [service] of this.#parts.configuration.engineServices) {
       this.#startService(service);
@@ -276,10 +277,10 @@
         listedTargets: () => targets.ofService(name),
         engine: () => configuration.service(name)?.engine ?? null,
         mayOrder: () => this.#lease.mayOrder,
-        nextEpoch: () => this.#numbers.next(this.#lease.epoch),
+        nextEpoch: () => this.#groupNumbers.next(this.#lease.epoch),
         demand: () => this.#demand(name),
-        isBeforeTraffic: () => this.#isBeforeTraffic,
-        onTableChanged: () => this.#tableChanged(),
+        isBeforeTraffic: () => this.#isBeforeFirstCall,
+        onTableChanged: () => this.#publishTable(),
       },
       this.#options.bounds,
     );
@@ -287,7 +288,7 @@
     service.start();
   }
 
-  #release(): void {
+  #stopServices(): void {
     for (const service of this.#services.values()) {
       service.dispose();
     }
@@ -295,22 +296,22 @@
     this.#servicesEpoch = null;
   }
 
-  /** While the lease is only in doubt, what is known is kept. */
-  #releaseIfReplaced(): void {
+  /** Keeps the services while the lease is only in doubt. */
+  #stopServicesIfReplaced(): void {
     if (!this.#lease.isHolding) {
-      this.#release();
+      this.#stopServices();
     }
   }
 
-  get #isBeforeTraffic(): boolean {
-    const hasCalls = this.#desk.reports.some((word) => word.hasCalls);
+  get #isBeforeFirstCall(): boolean {
+    const hasCalls = this.#exchangeServer.reports.some((one) => one.hasCalls);
     return this.#options.isFirstStart && !hasCalls;
   }
 
-  /** Groups that the calls of all processes keep busy, by model. */
+  /** Groups that the calls of all processes need, by model. */
   #demand(service: string): ReadonlyMap<string, number> {
     const demand = new Map<string, number>();
-    for (const { work } of this.#desk.reports) {
+    for (const { work } of this.#exchangeServer.reports) {
       for (const { model, groups, waiting } of work.filter(
         (one) => one.service === service,
       )) {
@@ -321,62 +322,68 @@
     return demand;
   }
 
-  #tableChanged(): void {
-    if (!this.#isInOffice) {
+  #publishTable(): void {
+    if (!this.#isActiveHolder) {
       return;
     }
     const serving = [...this.#services.values()].flatMap(
       (one) => one.servingGroups,
     );
-    const givenUp = [...this.#services.values()].flatMap(
+    const abandoned = [...this.#services.values()].flatMap(
       (one) => one.abandonedGroups,
     );
-    this.#desk.updateTable(serving, givenUp);
+    this.#exchangeServer.updateTable(serving, abandoned);
     this.#refresh();
   }
 
   #refresh(): void {
-    this.#releaseIfReplaced();
-    this.#startMissing();
+    this.#stopServicesIfReplaced();
+    this.#startMissingServices();
     const { groups, onGroupsChanged } = this.#parts;
-    const believed = this.#believed();
-    const lost = this.#lostGroups();
-    groups.replace(believed.map((group) => this.#asListed(group)));
+    const known = this.#knownGroups();
+    const lost = this.#updateAbandoned();
+    groups.replace(known.map((group) => this.#withReachability(group)));
     groups.setOthersInFlight(
-      this.#isInOffice ? this.#desk.othersInFlight : this.#others,
+      this.#isActiveHolder
+        ? this.#exchangeServer.othersInFlight
+        : this.#othersInFlight,
     );
     onGroupsChanged(lost);
   }
 
   /**
-   * Groups that the holder has given up since the last look. One that a table
-   * only lacks may well serve: a new holder may yet have to hear of its members,
-   * and the table of a former one is out of date.
+   * Groups that the holder has abandoned since the last refresh. One that is
+   * only missing from a table may still serve: a new holder may not know its
+   * members yet, and the table of a former holder is out of date.
    */
-  #lostGroups(): readonly string[] {
-    const before = this.#givenUp;
-    this.#givenUp = new Set(this.#givenUpByHolder);
-    const lost = [...this.#givenUp].filter((group) => !before.has(group));
+  #updateAbandoned(): readonly string[] {
+    const before = this.#abandonedGroups;
+    this.#abandonedGroups = new Set(this.#abandonedByHolder);
+    const lost = [...this.#abandonedGroups].filter(
+      (group) => !before.has(group),
+    );
     if (lost.length > 0) {
       this.#parts.log.warn("groups_lost", {
         groups: lost.join(","),
-        word: this.#isInOffice ? "own" : "holder",
-        age_ms: this.#isInOffice ? 0 : Math.round(this.#listener.age),
+        word: this.#isActiveHolder ? "own" : "holder",
+        age_ms: this.#isActiveHolder ? 0 : Math.round(this.#exchangeClient.age),
         epoch: this.#lease.epoch,
       });
     }
     return lost;
   }
 
-  get #givenUpByHolder(): readonly string[] {
-    if (this.#isInOffice) {
-      return this.#desk.abandonedGroups;
+  get #abandonedByHolder(): readonly string[] {
+    if (this.#isActiveHolder) {
+      return this.#exchangeServer.abandonedGroups;
     }
-    return this.#listener.isFresh ? this.#listener.abandonedGroups : [];
+    return this.#exchangeClient.isFresh
+      ? this.#exchangeClient.abandonedGroups
+      : [];
   }
 
-  /** The lease may be had before the configuration is known. */
-  #startMissing(): void {
+  /** The lease may be acquired before the configuration is known. */
+  #startMissingServices(): void {
     if (!this.#lease.isHolding) {
       return;
     }
@@ -388,16 +395,18 @@
     }
   }
 
-  get #others(): ReadonlyMap<string, number> | null {
-    return this.#listener.isFresh ? this.#listener.othersInFlight : null;
+  get #othersInFlight(): ReadonlyMap<string, number> | null {
+    return this.#exchangeClient.isFresh
+      ? this.#exchangeClient.othersInFlight
+      : null;
   }
 
-  #believed(): readonly IServingGroup[] {
-    if (this.#isInOffice) {
-      return this.#desk.groups;
+  #knownGroups(): readonly IServingGroup[] {
+    if (this.#isActiveHolder) {
+      return this.#exchangeServer.groups;
     }
-    if (this.#listener.isFresh) {
-      return this.#listener.groups;
+    if (this.#exchangeClient.isFresh) {
+      return this.#exchangeClient.groups;
     }
     const { configuration, targets } = this.#parts;
     return configuration.engineServices.flatMap(([name, engine]) =>
@@ -405,11 +414,11 @@
     );
   }
 
-  /** A head that leaves, or that this process knows to be gone, gets nothing. */
-  #asListed(group: IServingGroup): IServingGroup {
+  /** Sends no calls to a group whose head leaves, is gone or unreachable. */
+  #withReachability(group: IServingGroup): IServingGroup {
     const ready = this.#parts.targets.ready(group.service);
     const isReady = ready.some(({ id }) => id === group.head.id);
-    const isInReach = !group.isZoneOnly || group.zone === this.#options.zone;
-    return isReady && isInReach ? group : { ...group, takesWork: false };
+    const isReachable = !group.isZoneOnly || group.zone === this.#options.zone;
+    return isReady && isReachable ? group : { ...group, takesWork: false };
   }
 }
--- a/src/entry/fleet_coordinator_test.ts
+++ b/src/entry/fleet_coordinator_test.ts
@@ -62,28 +62,28 @@
   accountsByKey: null,
 };
 
-/** Each process asks the store for itself. */
+/** Relays nothing: each process reads the store itself. */
 const NO_RELAY: IStoreRelay = {
   versions: { configuration: 0, targets: 0 },
   updateFor: () => null,
   applyUpdate: () => undefined,
 };
 
-/** One object, and whether the store answers. */
-class SmallStore implements IObjectStore {
-  isAway = false;
+/** A store of one object that can be made unavailable. */
+class InMemoryStore implements IObjectStore {
+  isUnavailable = false;
   #object: IPlatformObject | null = null;
 
   async read() {
-    return this.isAway
-      ? Err(AWAY)
+    return this.isUnavailable
+      ? Err(UNAVAILABLE)
       : Ok(this.#object ? Some(this.#object) : None);
   }
   async list() {
-    return Err(AWAY);
+    return Err(UNAVAILABLE);
   }
   async watch() {
-    return Err(AWAY);
+    return Err(UNAVAILABLE);
   }
   async write(write: {
     readonly kind: string;
@@ -92,8 +92,8 @@
     readonly expectedVersion: number | null;
   }) {
     const { kind, name, value, expectedVersion } = write;
-    if (this.isAway) {
-      return Err({ kind: WriteFailureKind.NotApplied, detail: "away" });
+    if (this.isUnavailable) {
+      return Err({ kind: WriteFailureKind.NotApplied, detail: "unavailable" });
     }
     const version = this.#object?.version ?? null;
     if (version !== expectedVersion) {
@@ -104,23 +104,23 @@
     return Ok(next);
   }
   async remove() {
-    return Err({ kind: WriteFailureKind.NotApplied, detail: "never" });
+    return Err({ kind: WriteFailureKind.NotApplied, detail: "not supported" });
   }
 }
 
-const AWAY = { kind: "unknown", detail: "away" } as never;
+const UNAVAILABLE = { kind: "unknown", detail: "unavailable" } as never;
 
-/** Engines that do at once what they are told, and keep the orders. */
-class ObedientEngines implements IEngineClient {
+/** Engines that carry out orders at once and record them. */
+class FakeEngines implements IEngineClient {
   readonly states = new Map<string, IEngineState>();
-  /** Engines that answer nothing any more. */
+  /** Engines that no longer answer. */
   readonly dead = new Set<string>();
   readonly orders: { readonly engine: string; readonly order: EngineOrder }[] =
     [];
 
   async fetchReport({ id }: { readonly id: string }) {
     if (this.dead.has(id)) {
-      return Err(AWAY);
+      return Err(UNAVAILABLE);
     }
     const engine = this.states.get(id) ?? engineState();
     return Ok({ startedAt: 1, queued: 0, running: 0, pace: 1, engine });
@@ -150,29 +150,31 @@
 }
 
 /** Ten engines of a domain, the store, and the links between processes. */
-class World {
+class TestDeployment {
   readonly clock = new ManualClock();
-  readonly store = new SmallStore();
-  readonly engines = new ObedientEngines();
-  /** By address; one that is not here does not answer. */
-  readonly controls = new Map<string, FleetCoordinator>();
-  /** Changes what the holder says on its way. */
-  edit: (word: IHolderReply) => IHolderReply = (word) => word;
+  readonly store = new InMemoryStore();
+  readonly engines = new FakeEngines();
+  /** By address; without an entry, an address does not answer. */
+  readonly coordinators = new Map<string, FleetCoordinator>();
+  /** Modifies the holder's replies in transit. */
+  editReply: (reply: IHolderReply) => IHolderReply = (reply) => reply;
 
   readonly link: IHolderLink = {
-    exchange: async (address, word) => {
-      const control = this.controls.get(address);
-      if (control === undefined) {
-        return Err(AWAY);
+    exchange: async (address, report) => {
+      const coordinator = this.coordinators.get(address);
+      if (coordinator === undefined) {
+        return Err(UNAVAILABLE);
       }
-      const answer = await control.answerReport(word);
+      const answer = await coordinator.answerReport(report);
       return Ok(
-        answer.isHolder ? { ...answer, word: this.edit(answer.word) } : answer,
+        answer.isHolder
+          ? { ...answer, word: this.editReply(answer.word) }
+          : answer,
       );
     },
   };
 
-  /** Ends a member, not the head, of one open group; returns the group. */
+  /** Kills a member other than the head of an open group; returns the group. */
   killMember(): string {
     for (const [id, { model, membership }] of this.engines.states) {
       if (model === "small" && membership?.rank === 1) {
@@ -183,24 +185,24 @@
     throw new Error("no group has a second member");
   }
 
-  /** Moves on until the next group is told to open. */
+  /** Advances until the next group is ordered to open. */
   async advanceUntilOpened(): Promise<void> {
-    const known = this.#opened;
+    const known = this.#openOrders;
     for (let passed = 0; passed < 5_000; passed += 10) {
       await this.advance(10);
-      if (this.#opened > known) {
+      if (this.#openOrders > known) {
         return;
       }
     }
     throw new Error("no group was opened");
   }
 
-  get #opened(): number {
+  get #openOrders(): number {
     const { orders } = this.engines;
     return orders.filter(({ order }) => order.kind === OrderKind.Open).length;
   }
 
-  /** Moves on in short steps, with time for answers in between. */
+  /** Advances in short steps, with time for answers in between. */
   async advance(milliseconds: number): Promise<void> {
     for (let passed = 0; passed < milliseconds; passed += 10) {
       this.clock.advance(10);
@@ -211,17 +213,17 @@
   }
 }
 
-/** One process over the engines of a world. */
-class Play {
+/** One process in a test deployment. */
+class TestProcess {
   readonly groups = new ServingGroups();
   readonly log = new KeptLog();
-  readonly control: FleetCoordinator;
+  readonly coordinator: FleetCoordinator;
   readonly lost: string[] = [];
-  /** The fewest groups that calls could be sent to since it was set. */
-  fewest = Number.POSITIVE_INFINITY;
+  /** The fewest known groups since it was set. */
+  fewestGroups = Number.POSITIVE_INFINITY;
   hasCalls = false;
 
-  constructor(world: World, address = "127.0.0.1:1") {
+  constructor(deployment: TestDeployment, address = "127.0.0.1:1") {
     const configuration = new ActiveConfiguration(
       () => Ok(CONFIGURATION),
       this.log,
@@ -234,19 +236,19 @@
       version: 1,
       value: {},
     }));
-    const whole = {
+    const fullList = {
       isFullList: true,
       isAfterOutage: false,
       removed: [],
       version: 1,
     };
-    targets.applyStoreChanges({ ...whole, objects }, 0);
-    this.control = new FleetCoordinator(
+    targets.applyStoreChanges({ ...fullList, objects }, 0);
+    this.coordinator = new FleetCoordinator(
       {
-        store: world.store,
-        engines: world.engines,
-        clock: world.clock,
-        link: world.link,
+        store: deployment.store,
+        engines: deployment.engines,
+        clock: deployment.clock,
+        link: deployment.link,
         random: new SeededRandom(20261203),
         log: this.log,
         metrics: NO_METRICS,
@@ -259,7 +261,10 @@
         relay: NO_RELAY,
         onGroupsChanged: (lost) => {
           this.lost.push(...lost);
-          this.fewest = Math.min(this.fewest, this.groups.all.length);
+          this.fewestGroups = Math.min(
+            this.fewestGroups,
+            this.groups.all.length,
+          );
         },
       },
       {
@@ -269,7 +274,7 @@
         bounds: { stallTime: 5_000, loads: { window: 5_000, factor: 1.1 } },
       },
     );
-    world.controls.set(address, this.control);
+    deployment.coordinators.set(address, this.coordinator);
   }
 
   get serving(): readonly string[] {
@@ -292,36 +297,35 @@
 
 describe("ordering engines under the lease", () => {
   it("opens the groups of a domain, and keeps spares", async () => {
-    const world = new World();
-    const play = new Play(world);
-    play.control.start();
-    await world.advance(4_000);
-    const models = play.groups.all.map(({ model }) => model).sort();
+    const deployment = new TestDeployment();
+    const process = new TestProcess(deployment);
+    process.coordinator.start();
+    await deployment.advance(4_000);
+    const models = process.groups.all.map(({ model }) => model).sort();
     expect(models).to.deep.equal(["large", "small", "small"]);
-    play.control.dispose();
+    process.coordinator.dispose();
   });
 
-  // The store is away for some seconds, the lease lapses, and the same process
-  // regains it. Nobody else has acted; yet if it began to count its groups
-  // anew, a new group would have the name of one that serves, and members of
-  // an open group would be joined elsewhere.
-  it("never gives two groups one name when it regains the lease", async () => {
-    const world = new World();
-    const play = new Play(world);
-    play.control.start();
-    await world.advance(4_000);
-    const serving = play.groups.all.map(({ group }) => group);
-    world.store.isAway = true;
-    await world.advance(3_000);
-    world.store.isAway = false;
-    await world.advance(3_000);
-    expect(play.groups.all.map(({ group }) => group)).to.deep.equal(serving);
-    play.hasCalls = true;
-    world.killMember();
-    await world.advance(4_000);
-    expect(play.groups.all).to.have.length(serving.length);
+  // Guards against group numbers that restart when a process regains its lease
+  // after a store outage: a new group would take the name of a serving one, and
+  // members of an open group would be ordered to join another.
+  it("never reuses a group name after it regains the lease", async () => {
+    const deployment = new TestDeployment();
+    const process = new TestProcess(deployment);
+    process.coordinator.start();
+    await deployment.advance(4_000);
+    const serving = process.groups.all.map(({ group }) => group);
+    deployment.store.isUnavailable = true;
+    await deployment.advance(3_000);
+    deployment.store.isUnavailable = false;
+    await deployment.advance(3_000);
+    expect(process.groups.all.map(({ group }) => group)).to.deep.equal(serving);
+    process.hasCalls = true;
+    deployment.killMember();
+    await deployment.advance(4_000);
+    expect(process.groups.all).to.have.length(serving.length);
     const lists = new Map<string, string>();
-    for (const { order } of world.engines.orders) {
+    for (const { order } of deployment.engines.orders) {
       if (order.kind === OrderKind.Join) {
         const { group, members } = order.plan;
         const list = members.join(",");
@@ -329,103 +333,105 @@
         lists.set(group, list);
       }
     }
-    play.control.dispose();
+    process.coordinator.dispose();
   });
 });
 
-describe("hearing which groups are lost", () => {
-  /** A holder, and a process that hears from it. */
-  async function startBoth(world: World): Promise<readonly [Play, Play]> {
-    const holder = new Play(world, "127.0.0.1:1");
-    const other = new Play(world, "127.0.0.1:3");
+describe("learning which groups are lost", () => {
+  /** Starts a holder, and a process that learns the groups from it. */
+  async function startBoth(
+    deployment: TestDeployment,
+  ): Promise<readonly [TestProcess, TestProcess]> {
+    const holder = new TestProcess(deployment, "127.0.0.1:1");
+    const other = new TestProcess(deployment, "127.0.0.1:3");
     holder.hasCalls = true;
     other.hasCalls = true;
-    holder.control.start();
-    await world.advance(4_000);
-    other.control.start();
-    await world.advance(500);
+    holder.coordinator.start();
+    await deployment.advance(4_000);
+    other.coordinator.start();
+    await deployment.advance(500);
     expect(other.serving).to.have.length(3);
     return [holder, other];
   }
 
-  // Guards against a new lease holder that ends the streams of groups it has
-  // yet to look at.
+  // Guards against a new lease holder that ends the streams of groups that it
+  // has not surveyed yet.
   it("loses no group by taking over the lease", async () => {
-    const world = new World();
-    const [holder, other] = await startBoth(world);
+    const deployment = new TestDeployment();
+    const [holder, other] = await startBoth(deployment);
     const { serving } = other;
-    await holder.control.releaseLease();
-    await world.advance(1_000);
-    expect(other.control.isHolder).to.equal(true);
+    await holder.coordinator.releaseLease();
+    await deployment.advance(1_000);
+    expect(other.coordinator.isHolder).to.equal(true);
     expect(other.lost).to.deep.equal([]);
     expect(other.serving).to.deep.equal(serving);
-    holder.control.dispose();
-    other.control.dispose();
+    holder.coordinator.dispose();
+    other.coordinator.dispose();
   });
 
-  // Guards against calls without a group while a new lease holder has yet to
-  // look at the groups.
-  it("has groups all the while it takes over the lease", async () => {
-    const world = new World();
-    const [holder, other] = await startBoth(world);
-    other.fewest = other.serving.length;
-    await holder.control.releaseLease();
-    await world.advance(1_000);
-    expect(other.control.isHolder).to.equal(true);
-    expect(other.fewest).to.equal(3);
-    holder.control.dispose();
-    other.control.dispose();
+  // Guards against calls without a group while a new lease holder has not
+  // surveyed the groups yet.
+  it("keeps its groups while it takes over the lease", async () => {
+    const deployment = new TestDeployment();
+    const [holder, other] = await startBoth(deployment);
+    other.fewestGroups = other.serving.length;
+    await holder.coordinator.releaseLease();
+    await deployment.advance(1_000);
+    expect(other.coordinator.isHolder).to.equal(true);
+    expect(other.fewestGroups).to.equal(3);
+    holder.coordinator.dispose();
+    other.coordinator.dispose();
   });
 
-  // Guards against streams ended because another holder's table, not yet whole
-  // or long out of date, lacks their group.
-  it("loses no group that a table only lacks", async () => {
-    const world = new World();
-    const [holder, other] = await startBoth(world);
-    world.edit = (word) => ({
-      ...word,
-      tableVersion: word.tableVersion + 1,
+  // Guards against streams ended because their group is missing from another
+  // holder's table that is incomplete or out of date.
+  it("loses no group that is only missing from a table", async () => {
+    const deployment = new TestDeployment();
+    const [holder, other] = await startBoth(deployment);
+    deployment.editReply = (reply) => ({
+      ...reply,
+      tableVersion: reply.tableVersion + 1,
       groups: holder.groups.all.slice(1),
     });
-    await world.advance(1_000);
+    await deployment.advance(1_000);
     expect(other.serving).to.have.length(2);
     expect(other.lost).to.deep.equal([]);
-    holder.control.dispose();
-    other.control.dispose();
+    holder.coordinator.dispose();
+    other.coordinator.dispose();
   });
 
-  // Guards against streams ended by a process that gives the lease back, in a
-  // group that opened after it last heard the former holder's table.
-  it("loses no group that serves by giving the lease back", async () => {
-    const world = new World();
-    const [holder, other] = await startBoth(world);
+  // Guards against streams ended by a process that releases the lease, in a
+  // group that opened after it last received the former holder's table.
+  it("loses no serving group by releasing the lease", async () => {
+    const deployment = new TestDeployment();
+    const [holder, other] = await startBoth(deployment);
     const before = new Set(other.serving);
-    world.killMember();
-    await world.advanceUntilOpened();
-    await holder.control.releaseLease();
-    await world.advance(600);
-    expect(other.control.isHolder).to.equal(true);
+    deployment.killMember();
+    await deployment.advanceUntilOpened();
+    await holder.coordinator.releaseLease();
+    await deployment.advance(600);
+    expect(other.coordinator.isHolder).to.equal(true);
     const opened = other.serving.filter((group) => !before.has(group));
     expect(opened).to.have.length(1);
     other.lost.length = 0;
-    other.fewest = other.serving.length;
-    await other.control.releaseLease();
-    await world.advance(1_000);
+    other.fewestGroups = other.serving.length;
+    await other.coordinator.releaseLease();
+    await deployment.advance(1_000);
     expect(other.lost).to.deep.equal([]);
-    expect(other.fewest).to.equal(3);
+    expect(other.fewestGroups).to.equal(3);
     expect(other.serving).to.include(opened[0]);
-    holder.control.dispose();
-    other.control.dispose();
+    holder.coordinator.dispose();
+    other.coordinator.dispose();
   });
 
-  it("loses a group that the holder gives up, once", async () => {
-    const world = new World();
-    const [holder, other] = await startBoth(world);
-    const group = world.killMember();
-    await world.advance(4_000);
+  it("loses a group that the holder abandons, once", async () => {
+    const deployment = new TestDeployment();
+    const [holder, other] = await startBoth(deployment);
+    const group = deployment.killMember();
+    await deployment.advance(4_000);
     expect(holder.lost).to.deep.equal([group]);
     expect(other.lost).to.deep.equal([group]);
-    holder.control.dispose();
-    other.control.dispose();
+    holder.coordinator.dispose();
+    other.coordinator.dispose();
   });
 });
--- a/src/entry/main.ts
+++ b/src/entry/main.ts
@@ -3,10 +3,10 @@
 import { EntryProcess } from "./entry_process.ts";
 import { loadEntrySettings } from "./settings.ts";
 
-/** Exit code when the settings have findings. */
+/** Exit code for invalid settings. */
 const EXIT_BAD_SETTINGS = 2;
 
-/** Names the settings file where no argument does. */
+/** Environment variable with the settings path where no argument is given. */
 const SETTINGS_VARIABLE = "CRANBERRYLEDGE_SETTINGS";
 
 async function main(): Promise<void> {
--- a/src/entry/settings.ts
+++ b/src/entry/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of an entry process: a YAML file, checked whole at the start. */
+/** Settings of an entry process: a YAML file, validated at the start. */
 import type { Result } from "ts-results-es";
 import { z } from "zod";
 import { readTextFile } from "../adapters/text_file.ts";
@@ -12,14 +12,14 @@
   instance: z.strictObject({
     name: z.string().min(1),
     zone: z.string().min(1),
-    /** The IP number under which other processes reach this one. */
+    /** IP address at which other processes reach this one. */
     address: z.string().min(1),
   }),
   listen: z.strictObject({
     callers: addressSchema,
-    /** Asked by the platform's balancer. */
+    /** Probed by the platform's balancer. */
     readiness: addressSchema,
-    /** For the other processes, and for metrics. */
+    /** For other processes and metrics. */
     inner_port: z.number().int().positive(),
   }),
   store: z.strictObject({ address: addressSchema }),
@@ -30,13 +30,13 @@
   /** True when the whole deployment starts for the first time. */
   first_start: z.boolean(),
   bounds: z.strictObject({
-    /** From a stop signal until the process is killed, seconds. */
+    /** Time from a stop signal until the process is killed, seconds. */
     grace_s: positive,
-    /** Repeats: share of first sends, window, and those on top. */
+    /** Retries: ratio to first sends, window, and a number on top. */
     repeat_ratio: z.number().nonnegative(),
     repeat_window_s: positive,
     repeat_slack: z.number().nonnegative(),
-    /** After it a group without one of its members breaks, milliseconds. */
+    /** Time without a member after which its group breaks, milliseconds. */
     stall_ms: positive,
     /** Loads from the weight store: window and factor on its rate. */
     load_window_s: positive,
@@ -44,10 +44,10 @@
   }),
 });
 
-/** Settings as checked. */
+/** Validated settings. */
 export type EntrySettings = z.infer<typeof settingsSchema>;
 
-/** Checks settings, reporting every finding with its place. */
+/** Validates settings; every finding has its place in the file. */
 export function checkEntrySettings(
   source: string,
   text: string,
@@ -56,7 +56,7 @@
   return checkDocument(source, text, { schema }).map(({ content }) => content);
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function loadEntrySettings(
   path: string,
 ): Result<EntrySettings, readonly IFinding[]> {
