--- a/src/common/membership/digest_table.ts
+++ b/src/common/membership/digest_table.ts
@@ -1,46 +1,46 @@
 /**
- * Reports of the zone's targets as each daemon polled them, one row a daemon.
- * Rows are pulled, never pushed: the asker counts a row's age from the moment
- * it asked, so a delayed answer makes a report look older than it is and never
- * fresher. What the asker holds at the same version is not sent again; only
- * its age is (a conditional fetch).
+ * Reports of the zone's targets as each daemon polled them, one row per daemon.
+ * Rows are pulled, never pushed: the requester counts a row's age from the time
+ * of its request, so a delayed answer makes a report look older than it is and
+ * never fresher. Parts that the requester has at the same version are not sent
+ * again, only their age is (a conditional fetch).
  */
 import type { ISeenReport, ITargetReport, MonotonicTime } from "../types.ts";
 import type { IDigestRow, IHeldRow, TargetIdentity } from "./digest_types.ts";
 
-/** Load figures of a target in a row. */
+/** Load values per target in a row. */
 const LOADS_PER_TARGET = 4;
 
-/** Rows older than this are dropped: their daemon is gone, milliseconds. */
-const ROW_LIFE = 30_000;
+/** Age in milliseconds at which a row is dropped, as its daemon is gone. */
+const ROW_LIFETIME = 30_000;
 
 interface IRow {
   readonly identityVersion: number;
   readonly loadVersion: number;
   readonly identities: readonly TargetIdentity[];
   readonly loads: readonly number[];
-  /** When the oldest report in the row was asked for, or earlier. */
+  /** Time of the request for the oldest report in the row, or earlier. */
   readonly seenAt: MonotonicTime;
 }
 
-/** Holds this daemon's row and the newest known row of each other. */
+/** Holds this daemon's row and the newest known row of each other daemon. */
 export class DigestTable {
   readonly #self: number;
   readonly #rows = new Map<number, IRow>();
   /**
-   * This daemon's newest row, kept also while it shares none: its versions may
-   * not be used again for other reports.
+   * This daemon's newest row, kept also while it publishes none: its versions
+   * must not be reused for other reports.
    */
-  #newest: IRow | undefined;
+  #ownRow: IRow | undefined;
 
   /** @param self - hash of this daemon's identifier */
   constructor(self: number) {
     this.#self = self;
   }
 
-  /** Replaces this daemon's own row by its fresh polls. */
+  /** Replaces this daemon's own row by its recent polls. */
   publish(seen: readonly ISeenReport[]): void {
-    const before = this.#newest;
+    const before = this.#ownRow;
     if (seen.length === 0) {
       this.#rows.delete(this.#self);
       return;
@@ -57,28 +57,28 @@
     const isSameLoad =
       identityVersion === before?.identityVersion &&
       isSame(before.loads, loads);
-    this.#newest = {
+    this.#ownRow = {
       identityVersion,
       loadVersion: nextVersion(before?.loadVersion, isSameLoad),
       identities,
       loads,
       seenAt: Math.min(...seen.map(({ seenAt }) => seenAt)),
     };
-    this.#rows.set(this.#self, this.#newest);
+    this.#rows.set(this.#self, this.#ownRow);
   }
 
-  /** What this daemon holds, to be sent with a pull. */
+  /** Versions and ages of the rows held, to be sent with a pull. */
   heldRows(now: MonotonicTime): readonly IHeldRow[] {
-    this.#dropOld(now);
+    this.#dropExpired(now);
     return [...this.#rows].map(([poller, row]) => headerOf(poller, row, now));
   }
 
-  /** When a daemon's row was seen, or null. */
+  /** The time that a daemon's row describes, or null. */
   seenAt(poller: number): MonotonicTime | null {
     return this.#rows.get(poller)?.seenAt ?? null;
   }
 
-  /** Rows that are fresher than the asker's. */
+  /** Rows that are fresher than the requester's. */
   fresherRows(
     held: readonly IHeldRow[],
     now: MonotonicTime,
@@ -89,24 +89,24 @@
       const header = headerOf(poller, row, now);
       const theirs = known.get(poller);
       if (theirs === undefined || header.age < theirs.age) {
-        rows.push({ ...header, ...missing(row, theirs) });
+        rows.push({ ...header, ...missingParts(row, theirs) });
       }
     }
     return rows;
   }
 
   /**
-   * Takes an answer; returns the reports that it made fresher.
-   * @param askedAt - when it was asked for, on this daemon's clock
+   * Merges an answer; returns the reports that it made fresher.
+   * @param askedAt - time of the request on this daemon's clock
    */
   merge(
     rows: readonly IDigestRow[],
     askedAt: MonotonicTime,
   ): readonly ISeenReport[] {
-    return rows.flatMap((row) => this.#takeRow(row, askedAt - row.age));
+    return rows.flatMap((row) => this.#mergeRow(row, askedAt - row.age));
   }
 
-  #takeRow(row: IDigestRow, seenAt: MonotonicTime): readonly ISeenReport[] {
+  #mergeRow(row: IDigestRow, seenAt: MonotonicTime): readonly ISeenReport[] {
     const before = this.#rows.get(row.poller);
     const isOlder = before !== undefined && before.seenAt >= seenAt;
     if (row.poller === this.#self || isOlder) {
@@ -137,9 +137,9 @@
     }));
   }
 
-  #dropOld(now: MonotonicTime): void {
+  #dropExpired(now: MonotonicTime): void {
     for (const [poller, { seenAt }] of this.#rows) {
-      if (now - seenAt > ROW_LIFE) {
+      if (now - seenAt > ROW_LIFETIME) {
         this.#rows.delete(poller);
       }
     }
@@ -152,7 +152,7 @@
   return { poller, identityVersion, loadVersion, age };
 }
 
-function missing(
+function missingParts(
   row: IRow,
   theirs: IHeldRow | undefined,
 ): Pick<IDigestRow, "identities" | "loads"> {
--- a/src/common/membership/live_daemons.ts
+++ b/src/common/membership/live_daemons.ts
@@ -1,10 +1,10 @@
-/** The zone's live daemons as this one sees them, and who takes which duty. */
+/** The zone's live daemons in this daemon's view, and their duties. */
 import { Emitter } from "../emitter.ts";
 import type { IHash, ILiveDaemons } from "../services/services.ts";
 import type { DaemonId } from "../types.ts";
 import { chooseByRendezvous } from "./rendezvous.ts";
 
-/** Kept up to date by whoever follows membership. */
+/** Updated by the membership service. */
 export class LiveDaemons implements ILiveDaemons {
   readonly self: DaemonId;
   readonly #hash: IHash;
--- a/src/common/membership/member_table.ts
+++ b/src/common/membership/member_table.ts
@@ -1,16 +1,16 @@
-/** What is believed of each daemon of the zone, and which news is newer. */
+/** The known state of each daemon of the zone, and which update is newer. */
 import type { IHash } from "../services/services.ts";
 import type { DaemonId, MonotonicTime } from "../types.ts";
 import { MemberState } from "./types.ts";
 import type { IMemberUpdate } from "./types.ts";
 
-/** News with the moment it was taken in. */
+/** An update with the time at which it was applied. */
 export interface IKnownMember extends IMemberUpdate {
   readonly since: MonotonicTime;
 }
 
-/** Among news of the same incarnation the higher rank counts. */
-const RANKS: Readonly<Record<MemberState, number>> = {
+/** Precedence of states among updates of the same incarnation. */
+const PRECEDENCE: Readonly<Record<MemberState, number>> = {
   [MemberState.Alive]: 0,
   [MemberState.Suspect]: 1,
   [MemberState.Dead]: 2,
@@ -22,7 +22,7 @@
   return state === MemberState.Alive || state === MemberState.Suspect;
 }
 
-/** Other daemons of the zone, dead ones for a while included. */
+/** The other daemons of the zone, including dead ones until they expire. */
 export class MemberTable {
   readonly #hash: IHash;
   readonly #members = new Map<DaemonId, IKnownMember>();
@@ -47,7 +47,7 @@
     return this.#live;
   }
 
-  /** Equal for equal sets of live members, whatever the order. */
+  /** Equal for equal sets of live members, in any order. */
   get viewHash(): number {
     this.#viewHash ??= this.live.reduce(
       (sum, { member }) => (sum ^ this.#hash.hash(member.daemon)) >>> 0,
@@ -60,18 +60,18 @@
     return this.#members.get(daemon);
   }
 
-  /** Takes news in unless what is known is newer; true when it was taken. */
-  apply(news: IMemberUpdate, now: MonotonicTime): boolean {
-    const known = this.#members.get(news.member.daemon);
-    if (known !== undefined && !isNewer(news, known)) {
+  /** Applies an update unless a newer one is known; true when applied. */
+  apply(update: IMemberUpdate, now: MonotonicTime): boolean {
+    const known = this.#members.get(update.member.daemon);
+    if (known !== undefined && !isNewer(update, known)) {
       return false;
     }
-    this.#members.set(news.member.daemon, { ...news, since: now });
-    this.#forgetDerived();
+    this.#members.set(update.member.daemon, { ...update, since: now });
+    this.#clearCaches();
     return true;
   }
 
-  /** Drops members that have not been live for longer than the retention. */
+  /** Drops members that ceased to be live before the given time. */
   expire(before: MonotonicTime): void {
     for (const { member, state, since } of this.#members.values()) {
       if (!isLive(state) && since < before) {
@@ -80,22 +80,22 @@
     }
   }
 
-  #forgetDerived(): void {
+  #clearCaches(): void {
     this.#live = null;
     this.#viewHash = null;
   }
 }
 
-function isNewer(news: IMemberUpdate, known: IMemberUpdate): boolean {
+function isNewer(update: IMemberUpdate, known: IMemberUpdate): boolean {
   if (known.state === MemberState.Left) {
     return false;
   }
-  if (news.state === MemberState.Left) {
+  if (update.state === MemberState.Left) {
     return true;
   }
   return (
-    news.incarnation > known.incarnation ||
-    (news.incarnation === known.incarnation &&
-      RANKS[news.state] > RANKS[known.state])
+    update.incarnation > known.incarnation ||
+    (update.incarnation === known.incarnation &&
+      PRECEDENCE[update.state] > PRECEDENCE[known.state])
   );
 }
--- a/src/common/membership/peers.ts
+++ b/src/common/membership/peers.ts
@@ -7,13 +7,13 @@
 import type { IMember, IMemberUpdate, IProbe } from "./types.ts";
 import type { IZoneSummary } from "./zone_directory.ts";
 
-/** What a delegate tells of the zones, with its plan list versions. */
+/** A delegate's zone summaries and plan list versions. */
 export interface IZonesResponse {
   readonly zones: readonly IZoneSummary[];
   readonly versions: readonly IListVersion[];
 }
 
-/** What a daemon says when it asks about the zones. */
+/** A daemon's request for zone summaries. */
 export interface IZonesRequest {
   readonly from: IMember;
   readonly versions: readonly IListVersion[];
@@ -49,10 +49,10 @@
   ): Promise<Result<IListText, ICallFailure>>;
 }
 
-/** What a daemon answers its peers. */
+/** Handles the requests of other daemons. */
 export interface IPeerRequestHandler {
   handleProbe(probe: IProbe): IProbe;
-  /** Passes a probe on; its answer, or why there is none. */
+  /** Relays a probe; returns its answer, or why there is none. */
   relayProbe(
     probe: IProbe,
     target: string,
--- a/src/common/membership/rendezvous.ts
+++ b/src/common/membership/rendezvous.ts
@@ -1,7 +1,7 @@
 /**
  * Rendezvous hashing (highest random weight): daemons that see the same
- * candidates choose the same ones for a duty without talking about it, and a
- * candidate's loss moves only the duties that it had.
+ * candidates choose the same ones for a duty without coordination, and the loss
+ * of a candidate moves only its own duties.
  */
 import type { IHash } from "../services/services.ts";
 
--- a/src/common/membership/rendezvous_test.ts
+++ b/src/common/membership/rendezvous_test.ts
@@ -9,7 +9,7 @@
   Array.from({ length: count }, (_, index) => `${prefix}-${index}`);
 
 describe("rendezvous hashing", () => {
-  it("moves only the lost daemon's part", () => {
+  it("moves only the duties of a lost daemon", () => {
     const count = fc.integer({ min: 3, max: 40 });
     const property = fc.property(count, fc.nat(), (size, pick) => {
       const daemons = names("daemon", size);
--- a/src/common/membership/swim_membership.ts
+++ b/src/common/membership/swim_membership.ts
@@ -1,15 +1,16 @@
 /**
- * Which daemons of the zone are live: a state machine after SWIM (Das, Gupta
- * and Motivala, 2002). Events and the time go in, actions come out; it does no
- * I/O. Each period one member is probed. A member that answers neither the
- * probe nor probes through others becomes suspect, and dead unless it refutes
- * that in time with a higher incarnation. What is learnt travels on the probes.
+ * Detects which daemons of the zone are live: a state machine after SWIM (Das,
+ * Gupta and Motivala, 2002). It takes events and the time, returns actions and
+ * does no I/O. Each period one member is probed. A member that answers neither
+ * the probe nor indirect probes becomes suspect, and dead unless it refutes
+ * that in time with a higher incarnation. Updates are piggybacked on probes.
  *
  * Differences from the paper: every second probe goes to the next member on a
- * ring, so that a death is noticed within two periods, which random choice only
- * makes likely; suspects are probed each period with the suspicion told first,
- * so that they can refute it; and messages carry a hash of the sender's view,
- * so that views that differ without news to tell are compared whole.
+ * ring, so that a death is detected within two periods, which random choice
+ * only makes likely; suspects are probed each period with the suspicion first
+ * in the message, so that they can refute it; and messages carry a hash of the
+ * sender's view, so that full views are exchanged where they differ with no
+ * updates left to send.
  */
 import type { IHash, IRandom } from "../services/services.ts";
 import type { DaemonId, MonotonicTime } from "../types.ts";
@@ -24,38 +25,40 @@
   MembershipAction,
 } from "./types.ts";
 
-/** Members asked to probe one that did not answer. */
-const RELAYS = 3;
+/** Members asked to probe a member that did not answer. */
+const RELAYS_PER_PROBE = 3;
 
-/** Members told at once of a departure, before the daemon exits. */
-const TOLD_OF_LEAVING = 3;
+/** Members notified at once of a departure, before the daemon exits. */
+const LEAVE_FANOUT = 3;
 
-/** Contacts not yet heard of that are probed each period. */
+/** Contacts that are not members yet and are probed each period. */
 const CONTACTS_PER_PERIOD = 3;
 
-/** A dead member is probed each so many periods, in case it is back. */
-const PERIODS_PER_REVIVAL = 4;
+/** Periods between probes of dead members, in case one is back. */
+const PERIODS_PER_DEAD_PROBE = 4;
 
 /**
- * Members told at once of a suspicion or a death by whoever finds it. When the
- * news waited for the next period, a death was still unknown somewhere in a
- * zone of 39 after 5 s in 1 of 22 runs (membership_test.ts).
+ * Members notified at once of a suspicion or a death by its detector. If the
+ * update waits for the next period, a daemon of a zone of 39 still does not
+ * know of a death after 5 s in 1 of 22 runs (swim_membership_test.ts).
  */
-const TOLD_OF_FINDING = 3;
+const DETECTION_FANOUT = 3;
 
-/** Probes of a contact before it is given up. */
+/** Probes of a contact before it is dropped. */
 const CONTACT_ATTEMPTS = 5;
 
-/** Fewest periods from one comparison of whole views to the next. */
+/** Minimum number of periods from one exchange of full views to the next. */
 const PERIODS_PER_SYNCHRONIZATION = 4;
 
-/** Answers in a row from differing views before they are compared: fewer
- * would compare while news is still on its way. */
-const DIFFERING_ANSWERS = 3;
+/**
+ * Consecutive answers with a different view before full views are exchanged:
+ * fewer would exchange them while updates are still spreading.
+ */
+const MINIMUM_DIFFERING_ANSWERS = 3;
 
 interface IOpenProbe {
   readonly target: IMember;
-  /** Relays still to answer; null while the direct probe is open. */
+  /** Relays that have not answered; null while the direct probe is open. */
   relaysLeft: number | null;
 }
 
@@ -64,14 +67,14 @@
   attemptsLeft: number;
 }
 
-/** One daemon's part in the protocol. */
+/** The protocol's state machine of one daemon. */
 export class SwimMembership {
   readonly #self: IMember;
   readonly #timing: IMembershipTiming;
   readonly #random: IRandom;
   readonly #table: MemberTable;
-  readonly #news = new UpdateQueue();
-  readonly #open = new Map<number, IOpenProbe>();
+  readonly #updates = new UpdateQueue();
+  readonly #openProbes = new Map<number, IOpenProbe>();
   readonly #contacts = new Map<DaemonId, IContact>();
   readonly #selfHash: number;
   #incarnation = 0;
@@ -79,8 +82,8 @@
   #nextProbe = 1;
   #periods = 0;
   #lastSynchronized = Number.NEGATIVE_INFINITY;
-  #differing = 0;
-  #round: DaemonId[] = [];
+  #differingAnswers = 0;
+  #probeRound: DaemonId[] = [];
 
   constructor(
     self: IMember,
@@ -103,25 +106,25 @@
     return this.#incarnation;
   }
 
-  /** Everything known, this daemon first: for a peer that compares views. */
+  /** The full view, this daemon first, for a peer that synchronizes. */
   get view(): readonly IMemberUpdate[] {
-    return [this.#ownNews, ...this.#table.all];
+    return [this.#ownUpdate, ...this.#table.all];
   }
 
   stateOf(daemon: DaemonId): MemberState | null {
     return this.#table.get(daemon)?.state ?? null;
   }
 
-  /** Starts a period: probes one member, and settles old suspicions. */
+  /** Starts a period: probes members, and declares overdue suspects dead. */
   tick(now: MonotonicTime): readonly MembershipAction[] {
     this.#periods += 1;
     this.#table.expire(now - this.#timing.retention);
-    const actions = this.#settleSuspicions(now);
+    const actions = this.#declareOverdueDead(now);
     const targets = [
       this.#chooseTarget(),
       this.#chooseSuspect(),
       this.#chooseDead(),
-      ...this.#takeContacts(),
+      ...this.#nextContacts(),
     ];
     const seen = new Set<DaemonId>();
     for (const target of targets) {
@@ -133,65 +136,65 @@
     return actions;
   }
 
-  /** Probes some members out of turn, so that news spreads at once. */
+  /** Probes random members out of turn, so that updates spread at once. */
   spreadUpdates(count: number): readonly MembershipAction[] {
     return this.#sample(count, new Set()).map((member) => this.#probe(member));
   }
 
-  /** Takes daemons named by the platform or the settings: they are probed. */
+  /** Adds daemons named by the platform or the settings, to be probed. */
   addContacts(members: readonly IMember[]): void {
     for (const member of members) {
       const isKnown = this.#table.get(member.daemon) !== undefined;
-      if (this.#belongs(member) && !isKnown) {
+      if (this.#isZonePeer(member) && !isKnown) {
         const attemptsLeft = CONTACT_ATTEMPTS;
         this.#contacts.set(member.daemon, { member, attemptsLeft });
       }
     }
   }
 
-  /** Another daemon's probe; `answer` afterwards gives what to answer. */
+  /** Handles another daemon's probe; then `composeAnswer` gives the answer. */
   handleProbe(
     message: IMemberMessage,
     now: MonotonicTime,
   ): readonly MembershipAction[] {
-    return this.#takeMessage(message, now);
+    return this.#applyMessage(message, now);
   }
 
-  /** The answer to a probe by a daemon. */
+  /** The answer to a daemon's probe. */
   composeAnswer(to: DaemonId): IMemberMessage {
-    return this.#compose(to);
+    return this.#composeMessage(to);
   }
 
-  /** A probe was answered, directly or through a relay. */
+  /** Handles the answer to a probe, direct or through a relay. */
   handleAnswer(
     probe: number,
     message: IMemberMessage,
     now: MonotonicTime,
   ): readonly MembershipAction[] {
-    const target = this.#open.get(probe)?.target;
-    this.#open.delete(probe);
-    const actions = this.#takeMessage(message, now);
+    const target = this.#openProbes.get(probe)?.target;
+    this.#openProbes.delete(probe);
+    const actions = this.#applyMessage(message, now);
     const answeredBy = message.from.member.daemon;
     if (target !== undefined && answeredBy !== target.daemon) {
-      // The address answers as another: the daemon asked for was restarted,
-      // and its old identity will never refute anything.
+      // Another daemon answers at the address: the probed one was restarted,
+      // and its old identity never refutes a suspicion.
       const known = this.#table.get(target.daemon);
       const incarnation = known?.incarnation ?? 0;
       const state = MemberState.Left;
-      this.#takeNews({ member: target, incarnation, state }, now, actions);
+      this.#applyUpdate({ member: target, incarnation, state }, now, actions);
     }
-    const isSame = message.viewHash === this.#viewHash;
-    this.#differing = isSame ? 0 : this.#differing + 1;
-    actions.push(...this.#synchronize(message.from.member, now));
+    const isSameView = message.viewHash === this.#viewHash;
+    this.#differingAnswers = isSameView ? 0 : this.#differingAnswers + 1;
+    actions.push(...this.#synchronizeIfDiffering(message.from.member, now));
     return actions;
   }
 
-  /** A probe was not answered, directly or by one relay. */
+  /** Handles a probe without an answer, direct or through one relay. */
   handleProbeFailure(
     probe: number,
     now: MonotonicTime,
   ): readonly MembershipAction[] {
-    const open = this.#open.get(probe);
+    const open = this.#openProbes.get(probe);
     if (open === undefined) {
       return [];
     }
@@ -202,23 +205,23 @@
     return open.relaysLeft > 0 ? [] : this.#suspect(probe, open.target, now);
   }
 
-  /** Takes another daemon's whole view. */
+  /** Merges another daemon's full view. */
   mergeView(
     view: readonly IMemberUpdate[],
     now: MonotonicTime,
   ): readonly MembershipAction[] {
     const actions: MembershipAction[] = [];
-    view.forEach((news) => this.#takeNews(news, now, actions));
+    view.forEach((update) => this.#applyUpdate(update, now, actions));
     return actions;
   }
 
-  /** Says that this daemon leaves; the probes should be sent before exit. */
+  /** Announces that this daemon leaves; send the probes before the exit. */
   leave(): readonly MembershipAction[] {
     this.#state = MemberState.Left;
-    return this.spreadUpdates(TOLD_OF_LEAVING);
+    return this.spreadUpdates(LEAVE_FANOUT);
   }
 
-  get #ownNews(): IMemberUpdate {
+  get #ownUpdate(): IMemberUpdate {
     return {
       member: this.#self,
       incarnation: this.#incarnation,
@@ -230,84 +233,84 @@
     return (this.#table.viewHash ^ this.#selfHash) >>> 0;
   }
 
-  #belongs(member: IMember): boolean {
+  #isZonePeer(member: IMember): boolean {
     return (
       member.zone === this.#self.zone && member.daemon !== this.#self.daemon
     );
   }
 
-  #compose(to: DaemonId): IMemberMessage {
-    // Whoever is believed not alive is told so first: it cannot refute what it
-    // does not hear, and would stay out of the view although it answers.
-    const believed = this.#table.get(to);
-    const isDoubted =
-      believed !== undefined && believed.state !== MemberState.Alive;
+  #composeMessage(to: DaemonId): IMemberMessage {
+    // A receiver that is not alive in this view gets that update first: it can
+    // refute only what it receives, and would otherwise stay out of the view
+    // although it answers.
+    const known = this.#table.get(to);
+    const isNotAlive = known !== undefined && known.state !== MemberState.Alive;
     return {
-      from: this.#ownNews,
+      from: this.#ownUpdate,
       viewHash: this.#viewHash,
-      news: [...(isDoubted ? [believed] : []), ...this.#news.takeNext()],
+      news: [...(isNotAlive ? [known] : []), ...this.#updates.takeNext()],
     };
   }
 
   #probe(target: IMember): MembershipAction {
     const probe = this.#nextProbe;
     this.#nextProbe += 1;
-    this.#open.set(probe, { target, relaysLeft: null });
-    const message = this.#compose(target.daemon);
+    this.#openProbes.set(probe, { target, relaysLeft: null });
+    const message = this.#composeMessage(target.daemon);
     return { kind: MembershipActionKind.Probe, probe, target, message };
   }
 
-  #takeMessage(
+  #applyMessage(
     message: IMemberMessage,
     now: MonotonicTime,
   ): MembershipAction[] {
     const actions: MembershipAction[] = [];
-    this.#takeNews(message.from, now, actions);
-    message.news.forEach((news) => this.#takeNews(news, now, actions));
+    this.#applyUpdate(message.from, now, actions);
+    message.news.forEach((update) => this.#applyUpdate(update, now, actions));
     return actions;
   }
 
-  #takeNews(
-    news: IMemberUpdate,
+  #applyUpdate(
+    update: IMemberUpdate,
     now: MonotonicTime,
     actions: MembershipAction[],
   ): void {
-    if (news.member.daemon === this.#self.daemon) {
-      this.#refute(news);
+    if (update.member.daemon === this.#self.daemon) {
+      this.#refute(update);
       return;
     }
-    if (!this.#belongs(news.member)) {
+    if (!this.#isZonePeer(update.member)) {
       return;
     }
-    const before = this.#table.get(news.member.daemon);
-    if (!this.#table.apply(news, now)) {
+    const before = this.#table.get(update.member.daemon);
+    if (!this.#table.apply(update, now)) {
       return;
     }
-    this.#contacts.delete(news.member.daemon);
-    this.#news.add(news, this.#table.live.length);
+    this.#contacts.delete(update.member.daemon);
+    this.#updates.add(update, this.#table.live.length);
     const wasLive = before !== undefined && isLive(before.state);
-    if (wasLive !== isLive(news.state)) {
+    if (wasLive !== isLive(update.state)) {
       actions.push({ kind: MembershipActionKind.Changed });
     }
   }
 
-  #refute(news: IMemberUpdate): void {
-    const isAccusation = news.state !== MemberState.Alive;
-    if (isAccusation && news.incarnation >= this.#incarnation) {
-      this.#incarnation = news.incarnation + 1;
-      this.#news.add(this.#ownNews, this.#table.live.length);
+  #refute(update: IMemberUpdate): void {
+    const needsRefutation = update.state !== MemberState.Alive;
+    if (needsRefutation && update.incarnation >= this.#incarnation) {
+      this.#incarnation = update.incarnation + 1;
+      this.#updates.add(this.#ownUpdate, this.#table.live.length);
     }
   }
 
-  #settleSuspicions(now: MonotonicTime): MembershipAction[] {
+  #declareOverdueDead(now: MonotonicTime): MembershipAction[] {
     const actions: MembershipAction[] = [];
     for (const known of this.#table.live) {
-      const isOver = now - known.since >= this.#timing.suspicion;
-      if (known.state === MemberState.Suspect && isOver) {
+      const isOverdue = now - known.since >= this.#timing.suspicion;
+      if (known.state === MemberState.Suspect && isOverdue) {
         const { member, incarnation } = known;
         const state = MemberState.Dead;
-        this.#takeNews({ member, incarnation, state }, now, actions);
-        actions.push(...this.spreadUpdates(TOLD_OF_FINDING));
+        this.#applyUpdate({ member, incarnation, state }, now, actions);
+        actions.push(...this.spreadUpdates(DETECTION_FANOUT));
       }
     }
     return actions;
@@ -320,16 +323,16 @@
   ): readonly MembershipAction[] {
     const { target } = open;
     if (!this.#isLive(target.daemon)) {
-      this.#open.delete(probe);
+      this.#openProbes.delete(probe);
       return [];
     }
-    const relays = this.#sample(RELAYS, new Set([target.daemon]));
+    const relays = this.#sample(RELAYS_PER_PROBE, new Set([target.daemon]));
     if (relays.length === 0) {
       return this.#suspect(probe, target, now);
     }
     open.relaysLeft = relays.length;
     return relays.map((relay) => {
-      const message = this.#compose(target.daemon);
+      const message = this.#composeMessage(target.daemon);
       const kind = MembershipActionKind.ProbeThrough;
       return { kind, probe, relay, target, message };
     });
@@ -340,26 +343,26 @@
     target: IMember,
     now: MonotonicTime,
   ): readonly MembershipAction[] {
-    this.#open.delete(probe);
+    this.#openProbes.delete(probe);
     const known = this.#table.get(target.daemon);
     const actions: MembershipAction[] = [];
     if (known?.state === MemberState.Alive) {
       const { incarnation } = known;
       const state = MemberState.Suspect;
-      this.#takeNews({ member: target, incarnation, state }, now, actions);
-      actions.push(...this.spreadUpdates(TOLD_OF_FINDING));
+      this.#applyUpdate({ member: target, incarnation, state }, now, actions);
+      actions.push(...this.spreadUpdates(DETECTION_FANOUT));
     }
     return actions;
   }
 
-  #synchronize(
+  #synchronizeIfDiffering(
     target: IMember,
     now: MonotonicTime,
   ): readonly MembershipAction[] {
     const pause = this.#timing.period * PERIODS_PER_SYNCHRONIZATION;
     const isSoon = now - this.#lastSynchronized < pause;
-    const isSettled = this.#differing < DIFFERING_ANSWERS;
-    if (isSettled || isSoon || !this.#belongs(target)) {
+    const isConsistent = this.#differingAnswers < MINIMUM_DIFFERING_ANSWERS;
+    if (isConsistent || isSoon || !this.#isZonePeer(target)) {
       return [];
     }
     this.#lastSynchronized = now;
@@ -376,10 +379,10 @@
     return (next ?? live[0])?.member ?? null;
   }
 
-  /** Every live member once in a random order, then in another. */
+  /** Each live member once in random order; then in a new random order. */
   #nextInRound(): IMember | null {
     for (;;) {
-      const daemon = this.#round.pop();
+      const daemon = this.#probeRound.pop();
       if (daemon === undefined) {
         break;
       }
@@ -388,8 +391,8 @@
       }
     }
     const { live } = this.#table;
-    this.#round = this.#shuffle(live.map(({ member }) => member.daemon));
-    const first = this.#round.pop();
+    this.#probeRound = this.#shuffle(live.map(({ member }) => member.daemon));
+    const first = this.#probeRound.pop();
     return first === undefined
       ? null
       : (this.#table.get(first)?.member ?? null);
@@ -403,7 +406,7 @@
   }
 
   #chooseDead(): IMember | null {
-    if (this.#periods % PERIODS_PER_REVIVAL !== 0) {
+    if (this.#periods % PERIODS_PER_DEAD_PROBE !== 0) {
       return null;
     }
     const dead = this.#table.all.filter(
@@ -412,18 +415,18 @@
     return this.#pick(dead)?.member ?? null;
   }
 
-  #takeContacts(): readonly IMember[] {
-    const taken = [...this.#contacts.values()].slice(0, CONTACTS_PER_PERIOD);
-    for (const contact of taken) {
+  #nextContacts(): readonly IMember[] {
+    const chosen = [...this.#contacts.values()].slice(0, CONTACTS_PER_PERIOD);
+    for (const contact of chosen) {
       const { daemon } = contact.member;
       contact.attemptsLeft -= 1;
-      // Put behind the others, so that silent contacts do not block them.
+      // Moved to the end, so that silent contacts do not block the others.
       this.#contacts.delete(daemon);
       if (contact.attemptsLeft > 0) {
         this.#contacts.set(daemon, contact);
       }
     }
-    return taken.map(({ member }) => member);
+    return chosen.map(({ member }) => member);
   }
 
   #isLive(daemon: DaemonId): boolean {
--- a/src/common/membership/swim_membership_test.ts
+++ b/src/common/membership/swim_membership_test.ts
@@ -6,10 +6,10 @@
 import { MEMBERSHIP_TIMING } from "./timing.ts";
 import { MemberState } from "./types.ts";
 
-/** The aim: a dead daemon is known in its zone within this, milliseconds. */
+/** A dead daemon must be known in its zone within this time, milliseconds. */
 const DEATH_KNOWN_WITHIN = 5_000;
 
-/** From a heal to equal views, milliseconds. */
+/** Time from the end of a partition to equal views, milliseconds. */
 const VIEWS_EQUAL_WITHIN = 20_000;
 
 const hash = await XxhashHash.create();
@@ -22,12 +22,10 @@
     const contacts = network.nodes.slice(0, 2).map(({ member }) => member);
     network.add(`daemon-${String(index).padStart(3, "0")}`, "zone", contacts);
   }
-  const isWhole = () =>
+  const isConverged = () =>
     network.nodes.every(({ membership }) => membership.live.length >= size - 1);
-  expect(network.run(30_000, isWhole), "the zone comes together").to.equal(
-    true,
-  );
-  return { network, isWhole };
+  expect(network.run(30_000, isConverged), "the views converge").to.equal(true);
+  return { network, isConverged };
 }
 
 const zones = fc.record({
@@ -36,9 +34,9 @@
 });
 
 describe("membership", () => {
-  // A daemon dies without a word. Until the others know, they count on it to
-  // poll targets and to watch the plan lists.
-  it("knows a dead daemon in its zone within a bound", () => {
+  // Guards against a crash that is detected too late: until then the others
+  // rely on the dead daemon to poll targets and to watch the plan lists.
+  it("detects a dead daemon in its zone within a bound", () => {
     const property = fc.property(zones, fc.nat(), ({ size, seed }, pick) => {
       const { network } = startZone(size, { seed, loss: 0 });
       network.run(3_000);
@@ -54,12 +52,13 @@
     fc.assert(property, { seed: 6002, numRuns: 60 });
   });
 
-  // Five in a hundred messages are lost each way. A live daemon may come under
-  // suspicion, but must clear itself before it counts as dead anywhere.
-  it("lets no false suspicion outlive the suspicion time", () => {
+  // Guards against live daemons declared dead: with 5 % of messages lost each
+  // way one may be suspected, but must refute that before any other declares
+  // it dead.
+  it("refutes false suspicions within the suspicion time", () => {
     const property = fc.property(zones, ({ size, seed }) => {
       const { network } = startZone(size, { seed, loss: 0.05 });
-      const isAnyHeldDead = () =>
+      const isAnyDeclaredDead = () =>
         network.nodes.some(({ membership }) =>
           network.nodes.some(
             ({ member }) =>
@@ -68,30 +67,34 @@
         );
       for (let step = 0; step < 600; step++) {
         network.run(100);
-        expect(isAnyHeldDead(), `at ${network.now}`).to.equal(false);
+        expect(isAnyDeclaredDead(), `at ${network.now}`).to.equal(false);
       }
     });
     fc.assert(property, { seed: 6003, numRuns: 12 });
   });
 
-  // The zone falls in two long enough for each side to bury the other. When
-  // the cut ends nobody restarts, yet every view must be whole again.
-  it("brings the views together after a cut heals", () => {
-    const cut = fc.integer({ min: 1, max: 20 });
-    const property = fc.property(zones, cut, ({ size, seed }, sideSize) => {
-      const { network, isWhole } = startZone(size, { seed, loss: 0.02 });
-      network.nodes.slice(0, sideSize).forEach((node) => (node.side = 1));
-      network.run(15_000);
-      network.nodes.forEach((node) => (node.side = 0));
-      expect(network.run(VIEWS_EQUAL_WITHIN, isWhole)).to.equal(true);
-    });
+  // Guards against views that stay incomplete after a network partition that
+  // lasted until each side had declared the other dead; no daemon restarts.
+  it("merges the views after a partition ends", () => {
+    const sideSizes = fc.integer({ min: 1, max: 20 });
+    const property = fc.property(
+      zones,
+      sideSizes,
+      ({ size, seed }, sideSize) => {
+        const { network, isConverged } = startZone(size, { seed, loss: 0.02 });
+        network.nodes.slice(0, sideSize).forEach((node) => (node.side = 1));
+        network.run(15_000);
+        network.nodes.forEach((node) => (node.side = 0));
+        expect(network.run(VIEWS_EQUAL_WITHIN, isConverged)).to.equal(true);
+      },
+    );
     fc.assert(property, { seed: 6004, numRuns: 30 });
   });
 
-  // An instance stops for a while, as in a long collection of garbage, and
-  // goes on without knowing that it was taken for dead.
-  it("takes a paused daemon back under its old identity", () => {
-    const { network, isWhole } = startZone(12, { seed: 7, loss: 0 });
+  // Guards against a daemon that stays dead in the views of others after its
+  // instance was paused, as by a long garbage collection.
+  it("accepts a paused daemon again under its old identity", () => {
+    const { network, isConverged } = startZone(12, { seed: 7, loss: 0 });
     const paused = network.nodes[5]!;
     paused.isUp = false;
     network.run(10_000);
@@ -99,16 +102,16 @@
       MemberState.Dead,
     );
     paused.isUp = true;
-    expect(network.run(VIEWS_EQUAL_WITHIN, isWhole)).to.equal(true);
+    expect(network.run(VIEWS_EQUAL_WITHIN, isConverged)).to.equal(true);
     expect(paused.membership.incarnation).to.be.above(0);
   });
 
-  // A daemon is replaced at once under the same address: the address answers,
-  // so no probe ever fails, but the old identity must go.
-  it("drops an identity whose address answers as another", () => {
+  // Guards against an old identity that stays live when its daemon is replaced
+  // at once at the same address: the address answers, so no probe ever fails.
+  it("drops an identity when another daemon answers at its address", () => {
     const { network } = startZone(3, { seed: 8, loss: 0 });
-    const [asker, old, other] = network.nodes;
-    const { membership } = asker!;
+    const [prober, old, other] = network.nodes;
+    const { membership } = prober!;
     const probe = membership
       .tick(network.now)
       .concat(membership.tick(network.now))
@@ -129,18 +132,18 @@
     );
   });
 
-  it("tells a departure at once", () => {
+  it("announces a departure at once", () => {
     const { network } = startZone(6, { seed: 9, loss: 0 });
-    const [leaving, told] = network.nodes;
+    const [leaving, receiver] = network.nodes;
     leaving!.membership.leave();
-    const message = leaving!.membership.composeAnswer(told!.member.daemon);
-    told!.membership.handleProbe(message, network.now);
-    expect(told!.membership.stateOf(leaving!.member.daemon)).to.equal(
+    const message = leaving!.membership.composeAnswer(receiver!.member.daemon);
+    receiver!.membership.handleProbe(message, network.now);
+    expect(receiver!.membership.stateOf(leaving!.member.daemon)).to.equal(
       MemberState.Left,
     );
   });
 
-  it("puts a bound on what a message carries", () => {
+  it("limits the updates in a message", () => {
     let largest = 0;
     const network = new MemberNetwork({
       random: new SeededRandom(10),
--- a/src/common/membership/types.ts
+++ b/src/common/membership/types.ts
@@ -1,41 +1,41 @@
-/** The vocabulary of membership between daemons. All of it is hints. */
+/** Types of the membership of daemons. Its state is only ever a hint. */
 import type { IListVersion } from "../services/services.ts";
 import type { DaemonId, ZoneName } from "../types.ts";
 
-/** What is believed of a daemon. */
+/** The state of a daemon in a view. */
 export enum MemberState {
   Alive = "alive",
-  /** Did not answer; dead unless it says otherwise in time. */
+  /** Did not answer; becomes dead unless it refutes that in time. */
   Suspect = "suspect",
   Dead = "dead",
-  /** Said itself that it leaves, or its address answers as another. */
+  /** Announced that it leaves, or another daemon answers at its address. */
   Left = "left",
 }
 
-/** A daemon and where its peers reach it. */
+/** A daemon and the address at which its peers reach it. */
 export interface IMember {
   readonly daemon: DaemonId;
   readonly zone: ZoneName;
   readonly peerAddress: string;
 }
 
-/** One statement on a daemon; the higher incarnation is the newer. */
+/** A statement on one daemon; a higher incarnation is newer. */
 export interface IMemberUpdate {
   readonly member: IMember;
-  /** Raised only by the daemon itself, to refute what is said of it. */
+  /** Raised only by the daemon itself, to refute statements on it. */
   readonly incarnation: number;
   readonly state: MemberState;
 }
 
-/** What a probe and its answer carry. */
+/** Content of a probe and of its answer. */
 export interface IMemberMessage {
   readonly from: IMemberUpdate;
-  /** A hash of the sender's live members: views that differ are compared. */
+  /** Hash of the sender's live members, by which views are compared. */
   readonly viewHash: number;
   readonly news: readonly IMemberUpdate[];
 }
 
-/** A probe with what is piggybacked on it. */
+/** A probe with the list versions piggybacked on it. */
 export interface IProbe {
   readonly message: IMemberMessage;
   readonly versions: readonly IListVersion[];
@@ -47,11 +47,11 @@
   readonly period: number;
   /** How long a daemon stays suspect before it counts as dead. */
   readonly suspicion: number;
-  /** How long the dead are remembered, and asked whether they are back. */
+  /** How long dead daemons are kept, and probed in case they are back. */
   readonly retention: number;
 }
 
-/** What the state machine asks its runner to do. */
+/** What the state machine requests of its runner. */
 export enum MembershipActionKind {
   Probe = "probe",
   ProbeThrough = "probe_through",
@@ -59,7 +59,7 @@
   Changed = "changed",
 }
 
-/** One thing to do; answers come back as events with the same number. */
+/** An action; answers are passed back with the same probe number. */
 export type MembershipAction =
   | {
       readonly kind: MembershipActionKind.Probe;
--- a/src/common/membership/update_queue.ts
+++ b/src/common/membership/update_queue.ts
@@ -1,41 +1,41 @@
 /**
- * News waiting to be piggybacked. Each item is repeated a number of times that
- * grows with the logarithm of the members: enough to reach all of them, and a
- * bound on what a change costs.
+ * Queue of updates to piggyback. Each update is sent a number of times that
+ * grows with the logarithm of the number of members: enough to reach all of
+ * them, and a bound on the cost of a change.
  */
 import type { DaemonId } from "../types.ts";
 import type { IMemberUpdate } from "./types.ts";
 
-/** Most items in one message; a message stays under about one packet. */
+/** Maximum updates in one message, which stays under about one packet. */
 export const MAXIMUM_UPDATES = 8;
 
-/** Repeats for each doubling of the members, as in SWIM's analysis. */
-const REPEATS_PER_DOUBLING = 3;
+/** Sends per doubling of the number of members, as in SWIM's analysis. */
+const SENDS_PER_DOUBLING = 3;
 
-interface IQueued {
+interface IQueuedUpdate {
   readonly news: IMemberUpdate;
-  repeats: number;
+  sendsLeft: number;
 }
 
-/** Keeps the newest item for each daemon. */
+/** Keeps the newest update of each daemon. */
 export class UpdateQueue {
-  readonly #queued = new Map<DaemonId, IQueued>();
+  readonly #queued = new Map<DaemonId, IQueuedUpdate>();
 
-  /** @param members - live members, which set the number of repeats */
+  /** @param members - number of live members, which sets the number of sends */
   add(news: IMemberUpdate, members: number): void {
-    const repeats = REPEATS_PER_DOUBLING * Math.ceil(Math.log2(members + 2));
-    this.#queued.set(news.member.daemon, { news, repeats });
+    const sendsLeft = SENDS_PER_DOUBLING * Math.ceil(Math.log2(members + 2));
+    this.#queued.set(news.member.daemon, { news, sendsLeft });
   }
 
-  /** The items told least often so far. */
+  /** The updates with the most sends left. */
   takeNext(): IMemberUpdate[] {
-    const order = [...this.#queued.values()].sort(
-      (left, right) => right.repeats - left.repeats,
+    const sorted = [...this.#queued.values()].sort(
+      (left, right) => right.sendsLeft - left.sendsLeft,
     );
-    const taken = order.slice(0, MAXIMUM_UPDATES);
+    const taken = sorted.slice(0, MAXIMUM_UPDATES);
     for (const item of taken) {
-      item.repeats -= 1;
-      if (item.repeats <= 0) {
+      item.sendsLeft -= 1;
+      if (item.sendsLeft <= 0) {
         this.#queued.delete(item.news.member.daemon);
       }
     }
--- a/src/common/membership/zone_directory.ts
+++ b/src/common/membership/zone_directory.ts
@@ -1,8 +1,8 @@
 /**
- * What is known of the other zones. Two delegates a zone, chosen by rendezvous
- * hashing, ask delegates of other zones; the rest ask a delegate of their own.
- * Links between zones are few, costly and lossy, so their traffic must grow
- * with the zones and not with the daemons.
+ * Summaries of the other zones. Two delegates per zone, chosen by rendezvous
+ * hashing, query delegates of other zones; the other daemons query a delegate
+ * of their own zone. Links between zones are few, costly and lossy, so their
+ * traffic must grow with the number of zones and not of daemons.
  */
 import type { IHash, ILiveDaemons, IRandom } from "../services/services.ts";
 import type { DaemonId, MonotonicTime, ServiceName } from "../types.ts";
@@ -10,17 +10,17 @@
 import { chooseByRendezvous } from "./rendezvous.ts";
 import type { IMember } from "./types.ts";
 
-/** Daemons of a zone that speak with other zones. */
+/** Daemons of a zone that query other zones. */
 export const DELEGATES = 2;
 
-/** The duty by which delegates are chosen. */
+/** The duty that is hashed to choose delegates; equal in all daemons. */
 export const DELEGATE_DUTY = "delegate between zones";
 
-/** How often the rest of a zone ask a delegate, milliseconds. */
-const ASK_DELEGATE_EVERY = 5_000;
+/** How often the other daemons of a zone query a delegate, milliseconds. */
+const DELEGATE_QUERY_PERIOD = 5_000;
 
-/** How long a contact that failed is left alone, milliseconds. */
-const FAILED_FOR = 10_000;
+/** How long a contact that failed is not queried, milliseconds. */
+const FAILED_CONTACT_PAUSE = 10_000;
 
 /** Load of one service in a zone. */
 export interface IServiceLoad {
@@ -31,30 +31,30 @@
   readonly queued: number;
 }
 
-/** What one zone tells others of itself. */
+/** A zone's summary of itself for other zones. */
 export interface IZoneSummary {
   readonly zone: ZoneName;
-  /** Live daemons by the zone's own view. */
+  /** Number of live daemons in the zone's own view. */
   readonly daemons: number;
   readonly delegates: readonly IMember[];
   readonly loads: readonly IServiceLoad[];
-  /** Milliseconds since the zone said so. */
+  /** Milliseconds since the zone reported it. */
   readonly age: number;
 }
 
 interface IHeldSummary {
   readonly summary: IZoneSummary;
-  /** The moment on this daemon's clock that it describes, or earlier. */
+  /** The time on this daemon's clock that it describes, or earlier. */
   readonly seenAt: MonotonicTime;
 }
 
-/** Keeps the newest summary of each zone, and chooses whom to ask next. */
+/** Keeps the newest summary of each zone, and chooses the next contact. */
 export class ZoneDirectory {
   readonly #self: IMember;
   readonly #live: ILiveDaemons;
   readonly #hash: IHash;
   readonly #random: IRandom;
-  readonly #held = new Map<ZoneName, IHeldSummary>();
+  readonly #summaries = new Map<ZoneName, IHeldSummary>();
   readonly #contacts = new Map<ZoneName, Map<DaemonId, IMember>>();
   readonly #failedAt = new Map<string, MonotonicTime>();
   readonly #askedAt = new Map<ZoneName, MonotonicTime>();
@@ -84,7 +84,7 @@
     return chooseByRendezvous(DELEGATE_DUTY, this.#live.inZone, options);
   }
 
-  /** Replaces contacts in other zones by what the platform lists. */
+  /** Replaces the contacts in other zones by those that the platform lists. */
   setContacts(members: readonly IMember[]): void {
     this.#contacts.clear();
     for (const member of members) {
@@ -95,23 +95,23 @@
     }
   }
 
-  /** What is known of other zones, with its age now. */
+  /** Summaries of other zones with their current age. */
   summaries(now: MonotonicTime): readonly IZoneSummary[] {
-    return [...this.#held.values()].map(({ summary, seenAt }) => ({
+    return [...this.#summaries.values()].map(({ summary, seenAt }) => ({
       ...summary,
       age: Math.ceil(now - seenAt),
     }));
   }
 
   /**
-   * Whom to ask now, or null.
-   * @param members - this zone's live members, to reach a delegate among them
+   * The daemon to query now, or null.
+   * @param members - this zone's live members, for a delegate among them
    */
   nextContact(members: readonly IMember[], now: MonotonicTime): IMember | null {
     if (this.isDelegate) {
-      return this.#nextOtherZone(now);
+      return this.#nextZoneContact(now);
     }
-    if (now - this.#askedDelegateAt < ASK_DELEGATE_EVERY) {
+    if (now - this.#askedDelegateAt < DELEGATE_QUERY_PERIOD) {
       return null;
     }
     this.#askedDelegateAt = now;
@@ -123,17 +123,17 @@
   }
 
   /**
-   * Takes an answer.
-   * @param askedAt - when it was asked for; ages count from there, so that a
-   * slow answer never looks fresher than it is
+   * Merges an answer.
+   * @param askedAt - time of the request; ages count from it, so that a slow
+   * answer never looks fresher than it is
    */
   merge(zones: readonly IZoneSummary[], askedAt: MonotonicTime): void {
     for (const summary of zones) {
       const seenAt = askedAt - summary.age;
-      const held = this.#held.get(summary.zone);
+      const held = this.#summaries.get(summary.zone);
       const isNewer = held === undefined || held.seenAt < seenAt;
       if (summary.zone !== this.#self.zone && isNewer) {
-        this.#held.set(summary.zone, { summary, seenAt });
+        this.#summaries.set(summary.zone, { summary, seenAt });
       }
     }
   }
@@ -141,14 +141,17 @@
   recordFailure(member: IMember, now: MonotonicTime): void {
     this.#failedAt.set(member.peerAddress, now);
     for (const [address, at] of this.#failedAt) {
-      if (now - at > FAILED_FOR) {
+      if (now - at > FAILED_CONTACT_PAUSE) {
         this.#failedAt.delete(address);
       }
     }
   }
 
-  #nextOtherZone(now: MonotonicTime): IMember | null {
-    const zones = new Set([...this.#contacts.keys(), ...this.#held.keys()]);
+  #nextZoneContact(now: MonotonicTime): IMember | null {
+    const zones = new Set([
+      ...this.#contacts.keys(),
+      ...this.#summaries.keys(),
+    ]);
     const lastAsked = (zone: ZoneName) =>
       this.#askedAt.get(zone) ?? Number.NEGATIVE_INFINITY;
     const oldest = [...zones].sort(
@@ -158,7 +161,7 @@
       return null;
     }
     this.#askedAt.set(oldest, now);
-    const delegates = this.#held.get(oldest)?.summary.delegates ?? [];
+    const delegates = this.#summaries.get(oldest)?.summary.delegates ?? [];
     const contacts = [...(this.#contacts.get(oldest)?.values() ?? [])];
     return this.#choose(delegates, now) ?? this.#choose(contacts, now);
   }
@@ -166,7 +169,7 @@
   #choose(members: readonly IMember[], now: MonotonicTime): IMember | null {
     const usable = members.filter(({ peerAddress }) => {
       const failedAt = this.#failedAt.get(peerAddress);
-      return failedAt === undefined || now - failedAt > FAILED_FOR;
+      return failedAt === undefined || now - failedAt > FAILED_CONTACT_PAUSE;
     });
     const index = Math.floor(this.#random.next() * usable.length);
     return usable[index] ?? null;
