--- a/bench/control_bench.ts
+++ b/bench/control_bench.ts
@@ -72,7 +72,7 @@
     plainService: "delivery-api",
     polling: { targets: "500ms" },
   });
-  const daemons = deployment.names("daemon-");
+  const daemons = deployment.processNames("daemon-");
   const pids = daemons.map((daemon) => deployment.process(daemon).pid);
   await sleep(SETTLE);
   const before = pids.map(useOf);
--- a/bench/digests_bench.ts
+++ b/bench/digests_bench.ts
@@ -6,7 +6,7 @@
  * report in each answer.
  */
 import { peerApi } from "../src/adapters/peers/peer_api.ts";
-import { writeRow } from "../src/adapters/peers/peer_messages.ts";
+import { writeDigestRow } from "../src/adapters/peers/peer_messages.ts";
 import { XxhashHash } from "../src/adapters/hash/xxhash_hash.ts";
 import { DigestTable } from "../src/common/membership/digest_table.ts";
 import type {
@@ -16,7 +16,7 @@
 import { choosePullSource } from "../src/common/membership/digest_ring.ts";
 import { chooseByRendezvous } from "../src/common/membership/rendezvous.ts";
 import { TargetState } from "../src/common/types.ts";
-import type { ISeenReport } from "../src/common/types.ts";
+import type { ITimestampedReport } from "../src/common/types.ts";
 import { SeededRandom } from "../test/support/seeded_random.ts";
 import { printFit, round } from "./support/linear_fit.ts";
 import type { IPoint } from "./support/linear_fit.ts";
@@ -187,11 +187,17 @@
   rows: readonly IDigestRow[],
 ): number {
   const question = PullDigests.requestSerialize({ held: [...held] });
-  const answer = PullDigests.responseSerialize({ rows: rows.map(writeRow) });
+  const answer = PullDigests.responseSerialize({
+    rows: rows.map(writeDigestRow),
+  });
   return question.length + answer.length;
 }
 
-function polled(target: number, load: number, seenAt: number): ISeenReport {
+function polled(
+  target: number,
+  load: number,
+  seenAt: number,
+): ITimestampedReport {
   const group = Math.floor(target / 4);
   return {
     seenAt,
--- a/bench/groups_bench.ts
+++ b/bench/groups_bench.ts
@@ -9,10 +9,10 @@
 import { Deployment } from "../test/support/deployment.ts";
 import {
   groupPlan,
-  readRecord,
-  SteadyCaller,
+  readDomainRecord,
+  ContinuousCaller,
   ZONE,
-} from "../test/support/group_proof.ts";
+} from "../test/support/group_checks.ts";
 import { waitFor } from "../test/support/process_handle.ts";
 
 /** The stand-in's load; real weights take minutes, which only adds to it. */
@@ -61,8 +61,8 @@
   deployment: Deployment,
   options: { readonly round: number; readonly hasSpare: boolean },
 ): Promise<IParts> {
-  const daemons = deployment.names("daemon-");
-  const before = (await readRecord(deployment)).groups[0];
+  const daemons = deployment.processNames("daemon-");
+  const before = (await readDomainRecord(deployment)).groups[0];
   const isComplete = async (daemon: string) => {
     const { groups } = await deployment.status(daemon);
     return groups.every((group) => group.complete);
@@ -81,11 +81,12 @@
   }
   const generation = before?.generation ?? 0;
   const write = await until(start, async () => {
-    const group = (await readRecord(deployment)).groups[0];
+    const group = (await readDomainRecord(deployment)).groups[0];
     return (group?.generation ?? 0) > generation;
   });
   const order = await until(start, async () => {
-    const members = (await readRecord(deployment)).groups[0]?.members ?? [];
+    const members =
+      (await readDomainRecord(deployment)).groups[0]?.members ?? [];
     const states = await Promise.all(
       members.map((member) => generationOf(deployment, member)),
     );
@@ -99,7 +100,7 @@
   deployment: Deployment,
   member: string,
 ): Promise<number> {
-  const address = deployment.process(member).field("address");
+  const address = deployment.process(member).listeningField("address");
   const answer = await request(`http://${address}/report`);
   const report = (await answer.body.json()) as {
     membership: { generation: number } | null;
@@ -123,16 +124,21 @@
       polling: {},
     }),
   );
-  const caller = new SteadyCaller(deployment, deployment.names("daemon-"));
+  const caller = new ContinuousCaller(
+    deployment,
+    deployment.processNames("daemon-"),
+  );
   const parts: IParts[] = [];
   for (let round = 0; round < ROUNDS; round++) {
     await waitFor("every daemon sees the group", async () => {
       const statuses = await Promise.all(
-        deployment.names("daemon-").map((name) => deployment.status(name)),
+        deployment
+          .processNames("daemon-")
+          .map((name) => deployment.status(name)),
       );
       return statuses.every(({ groups }) => groups[0]?.complete);
     });
-    await caller.completes(5);
+    await caller.waitForCompleted(5);
     parts.push(await measure(deployment, { round, hasSpare }));
   }
   await caller.stop();
--- a/bench/membership_bench.ts
+++ b/bench/membership_bench.ts
@@ -6,7 +6,7 @@
  */
 import { XxhashHash } from "../src/adapters/hash/xxhash_hash.ts";
 import { MemberState } from "../src/common/membership/types.ts";
-import { MemberNetwork } from "../test/support/member_network.ts";
+import { SimulatedNetwork } from "../test/support/simulated_network.ts";
 import { SeededRandom } from "../test/support/seeded_random.ts";
 import { printFit, round } from "./support/linear_fit.ts";
 import type { IPoint } from "./support/linear_fit.ts";
@@ -94,18 +94,18 @@
   let bytes = 0;
   let messages = 0;
   let isMeasuring = false;
-  const network = new MemberNetwork({
+  const network = new SimulatedNetwork({
     random: new SeededRandom(size),
     hash,
-    loss,
-    delay: 10,
-    onSent: (_, message) => {
+    lossRate: loss,
+    maximumDelay: 10,
+    onMessageSent: (_, message) => {
       if (isMeasuring) {
         messages += 1;
         bytes += encodedBytes({ message, versions: VERSIONS });
       }
     },
-    onView: (_, view) => {
+    onViewSent: (_, view) => {
       if (isMeasuring) {
         const from = view[0]!;
         const message = { from, viewHash: 0, news: view };
@@ -116,7 +116,7 @@
   for (let index = 0; index < size; index++) {
     const contacts = network.nodes.slice(0, 3).map(({ member }) => member);
     const name = `entry-${index}/0b1c2d3e-4f50-6172-8394-a5b6c7d8e9f0`;
-    network.add(name, "vn-north-a", contacts);
+    network.addNode(name, "vn-north-a", contacts);
   }
   network.run(SETTLE * size);
   const heap = (usedHeap() - before) / size;
@@ -140,7 +140,7 @@
   };
 }
 
-function countHeldDead(network: MemberNetwork): number {
+function countHeldDead(network: SimulatedNetwork): number {
   return network.nodes.filter(({ member }) =>
     network.nodes.some(
       ({ membership }) =>
@@ -149,7 +149,7 @@
   ).length;
 }
 
-function measureDeaths(network: MemberNetwork): number[] {
+function measureDeaths(network: SimulatedNetwork): number[] {
   const times: number[] = [];
   const { nodes } = network;
   for (let index = 0; index < DEATHS; index++) {
--- a/bench/path_bench.ts
+++ b/bench/path_bench.ts
@@ -80,8 +80,8 @@
   });
   const daemon = deployment.process(DAEMON);
   const service = deployment.process(`service-${ZONE}`);
-  await using direct = pooled(`http://${service.field("address")}`);
-  await using through = pooled(`http://${daemon.field("callers")}`);
+  await using direct = pooled(`http://${service.listeningField("address")}`);
+  await using through = pooled(`http://${daemon.listeningField("callers")}`);
   const straight = posting(direct.pool, "/call", {
     requestId: "bench",
     operation: "feed",
--- a/bench/plan_lists_bench.ts
+++ b/bench/plan_lists_bench.ts
@@ -27,7 +27,7 @@
   constructor(deployment: Deployment, operator: Operator) {
     this.#deployment = deployment;
     this.#operator = operator;
-    this.#daemons = deployment.names("daemon-");
+    this.#daemons = deployment.processNames("daemon-");
   }
 
   get near(): readonly string[] {
--- a/bench/support/peer_wire.ts
+++ b/bench/support/peer_wire.ts
@@ -3,7 +3,7 @@
 import { GrpcPeerServer } from "../../src/adapters/peers/grpc_peer_server.ts";
 import { peerApi } from "../../src/adapters/peers/peer_api.ts";
 import { writeProbe } from "../../src/adapters/peers/peer_messages.ts";
-import { PlainPeerCredentials } from "../../src/adapters/tls/peer_credentials.ts";
+import { InsecurePeerCredentials } from "../../src/adapters/tls/peer_credentials.ts";
 import type { IPeerRequestHandler } from "../../src/common/membership/peers.ts";
 import { MemberState } from "../../src/common/membership/types.ts";
 import type { IProbe } from "../../src/common/membership/types.ts";
@@ -48,10 +48,10 @@
   const answers = {
     handleProbe: () => probe,
   } as unknown as IPeerRequestHandler;
-  const plain = new PlainPeerCredentials();
+  const plain = new InsecurePeerCredentials();
   await using server = new GrpcPeerServer(answers, {
     credentials: plain,
-    forwarded: () => {
+    onForwardedRequest: () => {
       throw new Error("nothing is handed over here");
     },
   });
--- a/src/adapters/callers/caller_answers.ts
+++ b/src/adapters/callers/caller_answers.ts
@@ -15,16 +15,16 @@
   [Reason.NoSuchOperation]: 404,
   [Reason.BadRequest]: 400,
   [Reason.BodyTooLarge]: 413,
-  [Reason.KeyRequired]: 400,
-  [Reason.KeyReused]: 422,
+  [Reason.IdempotencyKeyRequired]: 400,
+  [Reason.IdempotencyKeyReused]: 422,
   [Reason.InProgress]: 409,
   [Reason.OutcomeUnknown]: 409,
   [Reason.OverLimit]: 429,
   [Reason.DeadlineTooNear]: 429,
   [Reason.QueueFull]: 429,
-  [Reason.NoReplica]: 503,
+  [Reason.NoReplicaAvailable]: 503,
   [Reason.PlatformUnavailable]: 503,
-  [Reason.ListsUnknown]: 503,
+  [Reason.PlanListsUnknown]: 503,
   [Reason.TargetLost]: 502,
   [Reason.TargetRefused]: 503,
   [Reason.ShuttingDown]: 503,
@@ -33,10 +33,10 @@
 };
 
 /** How long a body that is too long is read and dropped, milliseconds. */
-const LONGEST_LINGER = 2_000;
+const LINGER_TIMEOUT = 2_000;
 
 /** How long a caller may take nothing of its stream, milliseconds. */
-const SLOWEST_CALLER = 30_000;
+const DRAIN_TIMEOUT = 30_000;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -65,7 +65,7 @@
     "content-length": Buffer.byteLength(body),
   });
   if (refusal.reason === Reason.BodyTooLarge) {
-    void endAfterBody(response, body);
+    void endAfterDiscardingBody(response, body);
   } else {
     response.end(body);
   }
@@ -77,14 +77,14 @@
  * reset the connection under the unread bytes, and the caller would lose the
  * answer; so what it sends is dropped for a while before the close.
  */
-async function endAfterBody(
+async function endAfterDiscardingBody(
   response: ServerResponse,
   body: string,
 ): Promise<void> {
   response.write(body);
   const incoming = response.req;
   await new Promise<void>((resolve) => {
-    const timer = setTimeout(resolve, LONGEST_LINGER);
+    const timer = setTimeout(resolve, LINGER_TIMEOUT);
     incoming.on("close", resolve).on("end", resolve).resume();
     response.on("close", () => clearTimeout(timer));
   });
@@ -156,7 +156,7 @@
     sent += batch.value.length;
     const isWhole = batch.value.at(-1)?.isEnd === true;
     if (!response.write(text) && !isWhole) {
-      await drained(response);
+      await waitForDrain(response);
     }
     if (isWhole) {
       response.end();
@@ -176,9 +176,9 @@
  * Waits for a slow caller, or for its connection to close. One that takes
  * nothing at all would hold its engine's slot for good, so it is cut off.
  */
-function drained(response: ServerResponse): Promise<void> {
+function waitForDrain(response: ServerResponse): Promise<void> {
   return new Promise((resolve) => {
-    const timer = setTimeout(() => response.destroy(), SLOWEST_CALLER);
+    const timer = setTimeout(() => response.destroy(), DRAIN_TIMEOUT);
     const done = () => {
       clearTimeout(timer);
       response.off("drain", done);
--- a/src/adapters/callers/http_caller_server.ts
+++ b/src/adapters/callers/http_caller_server.ts
@@ -6,7 +6,7 @@
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
-import type { PlanBook } from "../../common/plans/plan_book.ts";
+import type { EffectivePlans } from "../../common/plans/effective_plans.ts";
 import type { BurnRecorder } from "../../common/reports/burn_recorder.ts";
 import { notRun } from "../../common/services/refusal.ts";
 import type { CallDispatcher } from "../../common/services/call_dispatcher.ts";
@@ -23,7 +23,7 @@
   IServiceDefinition,
   ServiceName,
 } from "../../common/types.ts";
-import { addressOfServer } from "../listen.ts";
+import { listenOn } from "../listen.ts";
 import {
   CertificateReloader,
   readCertificate,
@@ -41,10 +41,10 @@
 const REQUEST_TIMEOUT = 15_000;
 
 /** How often slow senders are looked for; Node's own 30 s lets them pile up. */
-const CHECK_CONNECTIONS_EVERY = 1_000;
+const CONNECTION_CHECK_INTERVAL = 1_000;
 
 /** How long a closing server waits for the last bytes to leave. */
-const CLOSE_BOUND = 2_000;
+const CLOSE_TIMEOUT = 2_000;
 
 /** When to come back while the plan lists are not known, milliseconds. */
 const LISTS_RETRY_AFTER = 2_000;
@@ -55,9 +55,9 @@
 const PATH_PATTERN = /^\/v1\/services\/([^/?]+)\/([^/?]+)$/;
 
 /** What the caller server needs. */
-export interface ICallerParts {
+export interface ICallerServerParts {
   readonly dispatcher: CallDispatcher;
-  readonly book: PlanBook;
+  readonly book: EffectivePlans;
   /** Whether the plan lists may be acted by already. */
   areListsReady(): boolean;
   readonly services: ReadonlyMap<ServiceName, IServiceDefinition>;
@@ -72,20 +72,20 @@
 
 /** Accepts callers' requests and writes their answers. */
 export class HttpCallerServer {
-  readonly #parts: ICallerParts;
+  readonly #parts: ICallerServerParts;
   readonly #server: Server | SecureServer;
   readonly #reloader: CertificateReloader | null = null;
   #isStopping = false;
-  #open = 0;
-  #whenIdle: (() => void) | null = null;
+  #openResponses = 0;
+  #onIdle: (() => void) | null = null;
 
-  constructor(parts: ICallerParts) {
+  constructor(parts: ICallerServerParts) {
     this.#parts = parts;
     const limits = {
       maxHeaderSize: MAXIMUM_HEADER_BYTES,
       headersTimeout: HEADERS_TIMEOUT,
       requestTimeout: REQUEST_TIMEOUT,
-      connectionsCheckingInterval: CHECK_CONNECTIONS_EVERY,
+      connectionsCheckingInterval: CONNECTION_CHECK_INTERVAL,
     };
     const serve = (incoming: IncomingMessage, response: ServerResponse) =>
       void this.#serve(incoming, response);
@@ -107,7 +107,7 @@
 
   /** Listens on `host:port` and returns the address taken. */
   listen(address: string): Promise<string> {
-    return addressOfServer(this.#server, address);
+    return listenOn(this.#server, address);
   }
 
   /**
@@ -120,9 +120,9 @@
   async stop(): Promise<void> {
     this.#isStopping = true;
     this.#reloader?.dispose();
-    if (this.#open > 0) {
+    if (this.#openResponses > 0) {
       await new Promise<void>((resolve) => {
-        this.#whenIdle = resolve;
+        this.#onIdle = resolve;
       });
     }
     const closed = new Promise<void>((resolve) => {
@@ -130,7 +130,7 @@
     });
     const timer = setTimeout(
       () => this.#server.closeAllConnections(),
-      CLOSE_BOUND,
+      CLOSE_TIMEOUT,
     );
     this.#server.closeIdleConnections();
     await closed;
@@ -141,8 +141,8 @@
     incoming: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    this.#open += 1;
-    response.on("close", () => this.#closed());
+    this.#openResponses += 1;
+    response.on("close", () => this.#onResponseClosed());
     const requestId =
       callerRequestId(incoming) ?? this.#parts.random.identifier();
     response.setHeader("x-request-id", requestId);
@@ -152,19 +152,23 @@
     try {
       await this.#answer(incoming, response, requestId);
     } catch (error) {
-      this.#failed(requestId, response, error);
+      this.#handleError(requestId, response, error);
     }
   }
 
   /** An answer is with the network, whole, or its connection is gone. */
-  #closed(): void {
-    this.#open -= 1;
-    if (this.#open === 0) {
-      this.#whenIdle?.();
+  #onResponseClosed(): void {
+    this.#openResponses -= 1;
+    if (this.#openResponses === 0) {
+      this.#onIdle?.();
     }
   }
 
-  #failed(requestId: string, response: ServerResponse, error: unknown): void {
+  #handleError(
+    requestId: string,
+    response: ServerResponse,
+    error: unknown,
+  ): void {
     if (response.destroyed) {
       this.#parts.log.info("caller_left", { request: requestId });
       return;
@@ -188,22 +192,26 @@
         leaving.abort();
       }
     });
-    const request = await this.#check(incoming, requestId, leaving.signal);
+    const request = await this.#readRequest(
+      incoming,
+      requestId,
+      leaving.signal,
+    );
     const served = request.isOk()
-      ? this.#parts.burn.begin(request.value)
+      ? this.#parts.burn.observeRequest(request.value)
       : null;
     const dispatched = request.isErr()
       ? Err(request.error)
       : await this.#parts.dispatcher.dispatch(request.value);
-    const answer = served?.watch(dispatched) ?? dispatched;
+    const answer = served?.observeAnswer(dispatched) ?? dispatched;
     const sent = answer.isErr()
       ? sendRefusal(response, requestId, answer.error)
       : await sendAnswer(response, requestId, answer.value);
-    served?.end(sent);
-    this.#note(incoming, requestId, { sent, started });
+    served?.finish(sent);
+    this.#recordRequest(incoming, requestId, { sent, started });
   }
 
-  #note(
+  #recordRequest(
     incoming: IncomingMessage,
     requestId: string,
     result: { readonly sent: string; readonly started: number },
@@ -220,7 +228,7 @@
   }
 
   /** Finds who asks, for what, and reads the body. */
-  async #check(
+  async #readRequest(
     incoming: IncomingMessage,
     requestId: string,
     signal: AbortSignal,
@@ -232,9 +240,9 @@
     }
     if (!this.#parts.areListsReady()) {
       const detail = "the plan lists are not known here yet";
-      return Err(notRun(Reason.ListsUnknown, detail, LISTS_RETRY_AFTER));
+      return Err(notRun(Reason.PlanListsUnknown, detail, LISTS_RETRY_AFTER));
     }
-    const account = book.findByCredential(digestOf(bearer(incoming)));
+    const account = book.findByCredential(sha256Hex(readBearerToken(incoming)));
     if (account === null) {
       return Err(notRun(Reason.UnknownCaller, "the credential is not known"));
     }
@@ -263,7 +271,7 @@
       service,
       operation,
       body: body.value.content,
-      bodyDigest: key === null ? "" : digestOf(body.value.text),
+      bodyDigest: key === null ? "" : sha256Hex(body.value.text),
       key,
       arrivedAt,
       deadline: arrivedAt + account.plan.deadline,
@@ -273,7 +281,7 @@
   }
 }
 
-function bearer(incoming: IncomingMessage): string {
+function readBearerToken(incoming: IncomingMessage): string {
   const [scheme, credential] = (incoming.headers.authorization ?? "").split(
     " ",
   );
@@ -281,6 +289,6 @@
 }
 
 /** SHA-256 as lower-case hexadecimal. */
-export function digestOf(text: string): string {
+export function sha256Hex(text: string): string {
   return createHash("sha256").update(text).digest("hex");
 }
--- a/src/adapters/callers/read_body.ts
+++ b/src/adapters/callers/read_body.ts
@@ -10,7 +10,7 @@
 }
 
 /** What is wrong with a body. */
-export interface IBodyFault {
+export interface IBodyError {
   readonly detail: string;
   readonly isTooLong: boolean;
 }
@@ -25,7 +25,7 @@
 export async function readBody(
   incoming: IncomingMessage,
   maximumBytes: number,
-): Promise<Result<IBody, IBodyFault>> {
+): Promise<Result<IBody, IBodyError>> {
   const chunks: Buffer[] = [];
   let length = Number(incoming.headers["content-length"] ?? 0);
   if (length > maximumBytes) {
@@ -50,7 +50,7 @@
   }
 }
 
-function tooLong(maximumBytes: number): Result<IBody, IBodyFault> {
+function tooLong(maximumBytes: number): Result<IBody, IBodyError> {
   const detail = `the body is longer than ${maximumBytes} bytes`;
   return Err({ detail, isTooLong: true });
 }
--- a/src/adapters/exchange/holder_link.ts
+++ b/src/adapters/exchange/holder_link.ts
@@ -9,7 +9,7 @@
 } from "../../common/replicas/exchange.ts";
 import { CallFailureKind } from "../../common/types.ts";
 import type { ICallFailure } from "../../common/types.ts";
-import { failureOf } from "../http_failure.ts";
+import { callFailureOf } from "../http_failure.ts";
 import { withTimeLimit } from "../time_limit.ts";
 import { EXCHANGE_PATH } from "./inner_server.ts";
 
@@ -23,7 +23,7 @@
 
   async exchange(
     address: string,
-    word: IProcessReport,
+    report: IProcessReport,
     timeout: number,
   ): Promise<Result<ExchangeAnswer, ICallFailure>> {
     const attempted = `exchange with ${address}`;
@@ -33,7 +33,7 @@
           method: "POST",
           dispatcher: this.#agent,
           headers: { "content-type": "application/json" },
-          body: JSON.stringify(word),
+          body: JSON.stringify(report),
           signal,
         });
         return { status: answer.statusCode, text: await answer.body.text() };
@@ -46,7 +46,7 @@
       // since the inner port is open to other programs.
       return Ok(JSON.parse(text) as ExchangeAnswer);
     } catch (error) {
-      return Err(failureOf(attempted, error));
+      return Err(callFailureOf(attempted, error));
     }
   }
 
--- a/src/adapters/exchange/inner_server.ts
+++ b/src/adapters/exchange/inner_server.ts
@@ -6,21 +6,21 @@
   ExchangeAnswer,
   IProcessReport,
 } from "../../common/replicas/exchange.ts";
-import { addressOfServer } from "../listen.ts";
+import { listenOn } from "../listen.ts";
 
 /** Where processes tell the lease holder what they have in flight. */
 export const EXCHANGE_PATH = "/exchange";
 const METRICS_PATH = "/metrics";
 
 /** A word of one process is some kilobytes; more is not one. */
-const LONGEST_WORD = 262_144;
+const MAXIMUM_REPORT_LENGTH = 262_144;
 
 const STATUS_OK = 200;
 const STATUS_BAD_REQUEST = 400;
 const STATUS_NOT_FOUND = 404;
 const STATUS_NOT_HOLDER = 409;
 
-const wordSchema = z.object({
+const processReportSchema = z.object({
   process: z.string(),
   hasCalls: z.boolean(),
   inFlight: z.record(z.string(), z.number()),
@@ -41,25 +41,25 @@
 });
 
 /** What the server answers with. */
-export interface IInnerAnswers {
+export interface IInnerServerHandler {
   exchange(word: IProcessReport): Promise<ExchangeAnswer>;
   metrics(): Promise<string>;
 }
 
 /** HTTP on the inner port. */
 export class InnerServer {
-  readonly #answers: IInnerAnswers;
+  readonly #handler: IInnerServerHandler;
   readonly #server: Server;
 
-  constructor(answers: IInnerAnswers) {
-    this.#answers = answers;
+  constructor(answers: IInnerServerHandler) {
+    this.#handler = answers;
     this.#server = createServer((request, response) => {
       void this.#answer(request, response);
     });
   }
 
   listen(address: string): Promise<string> {
-    return addressOfServer(this.#server, address);
+    return listenOn(this.#server, address);
   }
 
   [Symbol.asyncDispose](): Promise<void> {
@@ -74,7 +74,7 @@
     response: ServerResponse,
   ): Promise<void> {
     if (request.url === METRICS_PATH) {
-      response.end(await this.#answers.metrics());
+      response.end(await this.#handler.metrics());
     } else if (request.url === EXCHANGE_PATH && request.method === "POST") {
       await this.#exchange(request, response);
     } else {
@@ -86,30 +86,30 @@
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const word = await readWord(request);
+    const word = await readReport(request);
     if (word === null) {
       response.writeHead(STATUS_BAD_REQUEST).end();
       return;
     }
-    const answer = await this.#answers.exchange(word);
+    const answer = await this.#handler.exchange(word);
     const status = answer.isHolder ? STATUS_OK : STATUS_NOT_HOLDER;
     response.writeHead(status, { "content-type": "application/json" });
     response.end(JSON.stringify(answer));
   }
 }
 
-async function readWord(
+async function readReport(
   request: IncomingMessage,
 ): Promise<IProcessReport | null> {
   let text = "";
   try {
     for await (const chunk of request as AsyncIterable<Buffer>) {
       text += chunk.toString("utf8");
-      if (text.length > LONGEST_WORD) {
+      if (text.length > MAXIMUM_REPORT_LENGTH) {
         return null;
       }
     }
-    return wordSchema.parse(JSON.parse(text));
+    return processReportSchema.parse(JSON.parse(text));
   } catch {
     // The sender is told by the status, and logs it.
     return null;
--- a/src/adapters/http_failure.ts
+++ b/src/adapters/http_failure.ts
@@ -14,7 +14,7 @@
  * @param attempted - what was tried, on what
  * @param error - what the HTTP library threw
  */
-export function failureOf(attempted: string, error: unknown): ICallFailure {
+export function callFailureOf(attempted: string, error: unknown): ICallFailure {
   const code = codeOf(error);
   const kind = NOT_SENT_CODES.has(code)
     ? CallFailureKind.NotSent
@@ -24,15 +24,15 @@
 }
 
 /** Errors by which a connection was silent for longer than it may be. */
-const SILENCE_CODES: ReadonlySet<string> = new Set([
+const RESPONSE_TIMEOUT_CODES: ReadonlySet<string> = new Set([
   "UND_ERR_HEADERS_TIMEOUT",
   "UND_ERR_BODY_TIMEOUT",
   "TIME_LIMIT",
 ]);
 
 /** Whether a call failed by silence on a connection that seemed open. */
-export function isSilence(error: unknown): boolean {
-  return SILENCE_CODES.has(codeOf(error));
+export function isResponseTimeout(error: unknown): boolean {
+  return RESPONSE_TIMEOUT_CODES.has(codeOf(error));
 }
 
 function codeOf(error: unknown): string {
--- a/src/adapters/listen.ts
+++ b/src/adapters/listen.ts
@@ -9,10 +9,7 @@
 }
 
 /** Listens and returns the `host:port` taken. */
-export function addressOfServer(
-  server: Server,
-  address: string,
-): Promise<string> {
+export function listenOn(server: Server, address: string): Promise<string> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve, reject) => {
     server.once("error", reject);
--- a/src/adapters/log/bounded_log.ts
+++ b/src/adapters/log/bounded_log.ts
@@ -6,7 +6,7 @@
 import { once } from "node:events";
 import logfmt from "logfmt";
 import { destination } from "pino";
-import { LogBudget } from "../../common/log_budget.ts";
+import { LogRateLimiter } from "../../common/log_rate_limiter.ts";
 import type {
   IClock,
   ILog,
@@ -14,10 +14,10 @@
 } from "../../common/services/services.ts";
 
 /** Bytes that wait for a reader; further lines are dropped and counted. */
-const LARGEST_BACKLOG = 1_048_576;
+const MAXIMUM_BACKLOG_BYTES = 1_048_576;
 
 /** How long the last lines are waited for at the end, milliseconds. */
-const LAST_LINES_WAIT = 200;
+const FLUSH_TIMEOUT = 200;
 
 const STANDARD_OUTPUT = 1;
 
@@ -32,20 +32,20 @@
 export class BoundedLog implements ILog {
   readonly #clock: IClock;
   readonly #base: LogFields;
-  readonly #budget = new LogBudget();
+  readonly #budget = new LogRateLimiter();
   readonly #out = destination({
     dest: STANDARD_OUTPUT,
     sync: false,
-    maxLength: LARGEST_BACKLOG,
+    maxLength: MAXIMUM_BACKLOG_BYTES,
   });
 
   /** @param base - fields on every line, such as the process's name */
   constructor(clock: IClock, base: LogFields) {
     this.#clock = clock;
     this.#base = base;
-    this.#out.on("drop", () => this.#budget.lost());
+    this.#out.on("drop", () => this.#budget.recordLostLine());
     // The reader has gone: there is nobody to tell, and calls go on.
-    this.#out.on("error", () => this.#budget.lost());
+    this.#out.on("error", () => this.#budget.recordLostLine());
   }
 
   info(event: string, fields: LogFields = {}): void {
@@ -66,7 +66,7 @@
       this.#out.flush(() => resolve());
     });
     const limit = new AbortController();
-    const timer = this.#clock.after(LAST_LINES_WAIT, () => limit.abort());
+    const timer = this.#clock.after(FLUSH_TIMEOUT, () => limit.abort());
     const over = once(limit.signal, "abort");
     await Promise.race([flushed, over]);
     timer.dispose();
@@ -74,16 +74,16 @@
 
   #write(severity: Severity, event: string, fields: LogFields): void {
     const now = this.#clock.now();
-    if (this.#budget.take(severity !== Severity.Info, now)) {
-      this.#line(severity, event, fields);
+    if (this.#budget.tryAcquire(severity !== Severity.Info, now)) {
+      this.#writeLine(severity, event, fields);
     }
-    const count = this.#budget.takeLeftOut(now);
+    const count = this.#budget.takeOmittedCount(now);
     if (count > 0) {
-      this.#line(Severity.Warn, "log_lines_left_out", { count });
+      this.#writeLine(Severity.Warn, "log_lines_left_out", { count });
     }
   }
 
-  #line(severity: Severity, event: string, fields: LogFields): void {
+  #writeLine(severity: Severity, event: string, fields: LogFields): void {
     const time = new Date(this.#clock.calendar()).toISOString();
     const line = { time, severity, event, ...this.#base, ...fields };
     this.#out.write(`${logfmt.stringify(line).replaceAll("\n", "\\n")}\n`);
--- a/src/adapters/log/log_lines.ts
+++ b/src/adapters/log/log_lines.ts
@@ -1,16 +1,16 @@
 /** Reads log lines back as fields. */
 import logfmt from "logfmt";
-import type { ILogLine } from "../../common/reports/request_story.ts";
+import type { ILogLine } from "../../common/reports/request_timeline.ts";
 
 /** What was read of a text. */
-export interface IReadLines {
+export interface IParsedLogLines {
   readonly lines: readonly ILogLine[];
   /** Lines without a time or an event: not of these logs. */
   readonly skipped: number;
 }
 
 /** Reads key=value lines; what a collector put before the time is ignored. */
-export function readLogLines(text: string): IReadLines {
+export function parseLogLines(text: string): IParsedLogLines {
   const lines: ILogLine[] = [];
   let skipped = 0;
   for (const raw of text.split("\n")) {
--- a/src/adapters/peers/forward_handlers.ts
+++ b/src/adapters/peers/forward_handlers.ts
@@ -12,17 +12,22 @@
 type ForwardCall = ServerWritableStream<ForwardRequest__Output, ForwardReply>;
 
 /** Answers a request handed over. */
-export type ForwardAnswer = (
+export type ForwardRequestHandler = (
   request: IForwardedRequest,
   signal: AbortSignal,
 ) => AsyncIterable<TokenBatch>;
 
 /** Handlers for a gRPC server. */
-export function forwardHandlers(answer: ForwardAnswer): ForwardHandlers {
+export function createForwardHandlers(
+  answer: ForwardRequestHandler,
+): ForwardHandlers {
   return { Generate: (call) => void serve(call, answer) };
 }
 
-async function serve(call: ForwardCall, answer: ForwardAnswer): Promise<void> {
+async function serve(
+  call: ForwardCall,
+  answer: ForwardRequestHandler,
+): Promise<void> {
   const leaving = new AbortController();
   call.on("cancelled", () => leaving.abort());
   try {
--- a/src/adapters/peers/grpc_peer_server.ts
+++ b/src/adapters/peers/grpc_peer_server.ts
@@ -8,41 +8,41 @@
 import type { ProbeResponse } from "../../generated/cranberryledge/ProbeResponse.ts";
 import type { IPeerCredentials } from "../tls/peer_credentials.ts";
 import { forwardApi } from "./forward_api.ts";
-import { forwardHandlers } from "./forward_handlers.ts";
-import type { ForwardAnswer } from "./forward_handlers.ts";
+import { createForwardHandlers } from "./forward_handlers.ts";
+import type { ForwardRequestHandler } from "./forward_handlers.ts";
 import { peerApi } from "./peer_api.ts";
 import {
   readProbe,
-  readQuestion,
-  writeNews,
+  readZonesRequest,
+  writeMemberUpdate,
   writeProbe,
-  writeRow,
-  writeSummary,
-  writeVersions,
+  writeDigestRow,
+  writeZoneSummary,
+  writeListVersions,
 } from "./peer_messages.ts";
 
 /** How a peer server is secured, and who runs what peers hand over. */
 export interface IPeerServerOptions {
   readonly credentials: IPeerCredentials;
-  readonly forwarded: ForwardAnswer;
+  readonly onForwardedRequest: ForwardRequestHandler;
 }
 
 /** Answers peers. */
 export class GrpcPeerServer {
   readonly #server = new Server();
-  readonly #answers: IPeerRequestHandler;
+  readonly #handler: IPeerRequestHandler;
 
   readonly #credentials: IPeerCredentials;
 
   constructor(answers: IPeerRequestHandler, options: IPeerServerOptions) {
     this.#credentials = options.credentials;
-    this.#answers = answers;
+    this.#handler = answers;
     const handlers = this.#handlers();
     this.#server.addService(peerApi.cranberryledge.Peer.service, {
       ...handlers,
     });
     this.#server.addService(forwardApi.cranberryledge.Forward.service, {
-      ...forwardHandlers(options.forwarded),
+      ...createForwardHandlers(options.onForwardedRequest),
     });
   }
 
@@ -65,26 +65,30 @@
   }
 
   #handlers(): PeerHandlers {
-    const answers = this.#answers;
+    const answers = this.#handler;
     return {
       Probe: (call, reply) =>
-        void answerWith(reply, () => this.#probe(call.request)),
+        void sendReply(reply, () => this.#probe(call.request)),
       Synchronize: (_, reply) =>
-        void answerWith(reply, () => ({ view: answers.view().map(writeNews) })),
+        void sendReply(reply, () => ({
+          view: answers.view().map(writeMemberUpdate),
+        })),
       PullDigests: (call, reply) =>
-        void answerWith(reply, () => ({
-          rows: answers.digests(call.request.held).map(writeRow),
+        void sendReply(reply, () => ({
+          rows: answers.digests(call.request.held).map(writeDigestRow),
         })),
       PullZones: (call, reply) =>
-        void answerWith(reply, () => {
-          const { zones, versions } = answers.zones(readQuestion(call.request));
+        void sendReply(reply, () => {
+          const { zones, versions } = answers.zones(
+            readZonesRequest(call.request),
+          );
           return {
-            zones: zones.map(writeSummary),
-            versions: writeVersions(versions),
+            zones: zones.map(writeZoneSummary),
+            versions: writeListVersions(versions),
           };
         }),
       FetchList: (call, reply) =>
-        void answerWith(reply, () => {
+        void sendReply(reply, () => {
           const { list } = call.request;
           const text = answers.listText(list as PlanListName);
           return text ?? { list, version: 0, text: "" };
@@ -96,9 +100,9 @@
     const probe = readProbe(request);
     const target = request.throughTo;
     if (target === "") {
-      return writeProbe(this.#answers.handleProbe(probe));
+      return writeProbe(this.#handler.handleProbe(probe));
     }
-    const answer = await this.#answers.relayProbe(probe, target);
+    const answer = await this.#handler.relayProbe(probe, target);
     if (answer.isErr()) {
       throw new Error(answer.error.detail);
     }
@@ -110,7 +114,7 @@
  * Sends what the function makes, or its error. A message that lacks a part
  * must fail its own call; thrown further it would end the process.
  */
-async function answerWith<T>(
+async function sendReply<T>(
   reply: sendUnaryData<T>,
   make: () => T | Promise<T>,
 ): Promise<void> {
--- a/src/adapters/peers/grpc_peers.ts
+++ b/src/adapters/peers/grpc_peers.ts
@@ -23,20 +23,20 @@
 import type { IPeerCredentials } from "../tls/peer_credentials.ts";
 import { peerApi } from "./peer_api.ts";
 import {
-  readNews,
+  readMemberUpdate,
   readProbe,
-  readRow,
-  readSummary,
-  readVersions,
+  readDigestRow,
+  readZoneSummary,
+  readListVersions,
   writeProbe,
-  writeVersions,
+  writeListVersions,
 } from "./peer_messages.ts";
 
 /** How long a peer may take to answer, milliseconds. */
 const CALL_TIMEOUT = 1_000;
 
 /** How long a client that is not used is kept, milliseconds. */
-const KEPT_UNUSED = 60_000;
+const CLIENT_IDLE_TIMEOUT = 60_000;
 
 /**
  * A pool of connections for each client: gRPC otherwise shares one among all
@@ -53,7 +53,7 @@
 
 type Reply<T> = (error: ServiceError | null, answer?: T) => void;
 
-interface IKeptClient {
+interface IClientEntry {
   readonly client: PeerClient;
   usedAt: number;
 }
@@ -64,7 +64,7 @@
  * it, and then a new connection works at once where the old one never will.
  */
 export class GrpcPeers implements IPeers {
-  readonly #clients = new Map<string, IKeptClient>();
+  readonly #clients = new Map<string, IClientEntry>();
   readonly #credentials: IPeerCredentials;
 
   constructor(credentials: IPeerCredentials) {
@@ -106,7 +106,7 @@
       address,
       CALL_TIMEOUT,
       (client, options, reply) => client.synchronize({}, options, reply),
-      ({ view }: SynchronizeResponse__Output) => view.map(readNews),
+      ({ view }: SynchronizeResponse__Output) => view.map(readMemberUpdate),
     );
   }
 
@@ -119,7 +119,7 @@
       CALL_TIMEOUT,
       (client, options, reply) =>
         client.pullDigests({ held: [...held] }, options, reply),
-      ({ rows }: PullDigestsResponse__Output) => rows.map(readRow),
+      ({ rows }: PullDigestsResponse__Output) => rows.map(readDigestRow),
     );
   }
 
@@ -127,15 +127,15 @@
     address: string,
     question: IZonesRequest,
   ): Promise<Result<IZonesResponse, ICallFailure>> {
-    const versions = writeVersions(question.versions);
+    const versions = writeListVersions(question.versions);
     const request = { from: { ...question.from }, versions };
     return this.#call(
       address,
       CALL_TIMEOUT,
       (client, options, reply) => client.pullZones(request, options, reply),
       (answer: PullZonesResponse__Output) => ({
-        zones: answer.zones.map(readSummary),
-        versions: readVersions(answer.versions),
+        zones: answer.zones.map(readZoneSummary),
+        versions: readListVersions(answer.versions),
       }),
     );
   }
@@ -211,7 +211,7 @@
   }
 
   #dropUnused(): void {
-    const before = Date.now() - KEPT_UNUSED;
+    const before = Date.now() - CLIENT_IDLE_TIMEOUT;
     for (const [address, { client, usedAt }] of this.#clients) {
       if (usedAt < before) {
         this.#drop(address, client);
--- a/src/adapters/peers/peer_messages.ts
+++ b/src/adapters/peers/peer_messages.ts
@@ -25,14 +25,14 @@
 import type { TargetIdentity__Output } from "../../generated/cranberryledge/TargetIdentity.ts";
 import type { ZoneSummary__Output } from "../../generated/cranberryledge/ZoneSummary.ts";
 
-const STATES = {
+const STATE_NAMES = {
   [MemberState.Alive]: "ALIVE",
   [MemberState.Suspect]: "SUSPECT",
   [MemberState.Dead]: "DEAD",
   [MemberState.Left]: "LEFT",
 } as const;
 
-const STATES_BACK = {
+const STATES_BY_NAME = {
   ALIVE: MemberState.Alive,
   SUSPECT: MemberState.Suspect,
   DEAD: MemberState.Dead,
@@ -47,16 +47,16 @@
   return value;
 }
 
-export function writeNews(news: IMemberUpdate) {
+export function writeMemberUpdate(news: IMemberUpdate) {
   const { member, incarnation, state } = news;
-  return { member: { ...member }, incarnation, state: STATES[state] };
+  return { member: { ...member }, incarnation, state: STATE_NAMES[state] };
 }
 
-export function readNews(news: MemberNews__Output): IMemberUpdate {
+export function readMemberUpdate(news: MemberNews__Output): IMemberUpdate {
   return {
     member: readMember(required(news.member)),
     incarnation: news.incarnation,
-    state: STATES_BACK[news.state],
+    state: STATES_BY_NAME[news.state],
   };
 }
 
@@ -68,8 +68,12 @@
 export function writeProbe(probe: IProbe) {
   const { from, viewHash, news } = probe.message;
   return {
-    message: { from: writeNews(from), viewHash, news: news.map(writeNews) },
-    versions: writeVersions(probe.versions),
+    message: {
+      from: writeMemberUpdate(from),
+      viewHash,
+      news: news.map(writeMemberUpdate),
+    },
+    versions: writeListVersions(probe.versions),
   };
 }
 
@@ -78,23 +82,23 @@
 ): IProbe {
   return {
     message: readMessage(required(probe.message)),
-    versions: readVersions(probe.versions),
+    versions: readListVersions(probe.versions),
   };
 }
 
 function readMessage(message: MemberMessage__Output): IMemberMessage {
   return {
-    from: readNews(required(message.from)),
+    from: readMemberUpdate(required(message.from)),
     viewHash: message.viewHash,
-    news: message.news.map(readNews),
+    news: message.news.map(readMemberUpdate),
   };
 }
 
-export function writeVersions(versions: readonly IListVersion[]) {
+export function writeListVersions(versions: readonly IListVersion[]) {
   return versions.map((entry) => ({ ...entry }));
 }
 
-export function readVersions(
+export function readListVersions(
   versions: readonly ListVersion__Output[],
 ): IListVersion[] {
   return versions.map(({ list, version }) => ({
@@ -103,7 +107,7 @@
   }));
 }
 
-export function writeRow(row: IDigestRow) {
+export function writeDigestRow(row: IDigestRow) {
   return {
     ...row,
     identities: (row.identities ?? []).map(writeIdentity),
@@ -112,7 +116,7 @@
 }
 
 /** A part that is empty was left out. */
-export function readRow(row: DigestRow__Output): IDigestRow {
+export function readDigestRow(row: DigestRow__Output): IDigestRow {
   const { poller, identityVersion, loadVersion, age } = row;
   const identities =
     row.identities.length > 0 ? row.identities.map(readIdentity) : null;
@@ -138,7 +142,7 @@
   };
 }
 
-export function writeSummary(summary: IZoneSummary) {
+export function writeZoneSummary(summary: IZoneSummary) {
   return {
     ...summary,
     delegates: summary.delegates.map((member) => ({ ...member })),
@@ -146,15 +150,15 @@
   };
 }
 
-export function readSummary(summary: ZoneSummary__Output): IZoneSummary {
+export function readZoneSummary(summary: ZoneSummary__Output): IZoneSummary {
   const { zone, daemons, loads, age } = summary;
   const delegates = summary.delegates.map(readMember);
   return { zone, daemons, delegates, loads, age };
 }
 
-export function readQuestion(
+export function readZonesRequest(
   question: PullZonesRequest__Output,
 ): IZonesRequest {
   const from = readMember(required(question.from));
-  return { from, versions: readVersions(question.versions) };
+  return { from, versions: readListVersions(question.versions) };
 }
--- a/src/adapters/platform/http_platform.ts
+++ b/src/adapters/platform/http_platform.ts
@@ -14,10 +14,10 @@
 } from "../../common/services/services.ts";
 import { CallFailureKind } from "../../common/types.ts";
 import type { ICallFailure, IInstance } from "../../common/types.ts";
-import { failureOf } from "../http_failure.ts";
+import { callFailureOf } from "../http_failure.ts";
 import { withTimeLimit } from "../time_limit.ts";
-import { InstanceList } from "./instance_list.ts";
-import type { ITaggedAnswer } from "./instance_list.ts";
+import { InstanceListCache } from "./instance_list_cache.ts";
+import type { ITaggedAnswer } from "./instance_list_cache.ts";
 
 /** The platform answers in milliseconds; a longer silence is a failure. */
 const CALL_TIMEOUT = 2_000;
@@ -35,7 +35,7 @@
 /** Speaks the object API by conditional HTTP requests and long polls. */
 export class HttpPlatform implements IPlatform {
   readonly #origin: string;
-  readonly #instanceList = new InstanceList();
+  readonly #instanceList = new InstanceListCache();
   readonly #agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT } });
 
   /** @param origin - such as `http://10.0.0.1:8080` */
@@ -89,7 +89,7 @@
       headers: { ...headers, "content-type": "application/json" },
       body: JSON.stringify(write.value),
     });
-    return settleWrite(answer).map(
+    return writeResultOf(answer).map(
       (body) => (body as { version: number }).version,
     );
   }
@@ -102,15 +102,15 @@
     const answer = await this.#send("DELETE", objectPath(kind, name), {
       headers: { "if-match": String(expectedVersion) },
     });
-    return settleWrite(answer).map(() => undefined);
+    return writeResultOf(answer).map(() => undefined);
   }
 
   async instances(): Promise<Result<readonly IInstance[], ICallFailure>> {
     const answer = await this.#send("GET", "/instances", {
-      headers: this.#instanceList.headers,
+      headers: this.#instanceList.requestHeaders,
       timeout: CALL_TIMEOUT,
     });
-    return answer.andThen((value) => this.#instanceList.take(value));
+    return answer.andThen((value) => this.#instanceList.update(value));
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -158,7 +158,7 @@
         });
       });
     } catch (error) {
-      return Err(failureOf(`platform ${method} ${path}`, error));
+      return Err(callFailureOf(`platform ${method} ${path}`, error));
     }
   }
 
@@ -179,7 +179,7 @@
   return `/objects/${encodeURIComponent(kind)}/${encodeURIComponent(name)}`;
 }
 
-function settleWrite(
+function writeResultOf(
   answer: Result<ITaggedAnswer, ICallFailure>,
 ): Result<unknown, IWriteFailure> {
   if (answer.isErr()) {
@@ -194,12 +194,12 @@
     return Ok(body);
   }
   return Err({
-    kind: kindOfStatus(status),
+    kind: writeFailureKindOf(status),
     detail: `platform answered ${status} ${JSON.stringify(body)}`,
   });
 }
 
-function kindOfStatus(status: number): WriteFailureKind {
+function writeFailureKindOf(status: number): WriteFailureKind {
   if (status === STATUS_CONFLICT || status === STATUS_NOT_FOUND) {
     return WriteFailureKind.Conflict;
   }
--- a/src/adapters/platform/instance_list.ts
+++ b/src/adapters/platform/instance_list_cache.ts
@@ -45,17 +45,17 @@
 }
 
 /** Keeps the last list and its tag. */
-export class InstanceList {
+export class InstanceListCache {
   #tag: string | null = null;
   #instances: readonly IInstance[] = [];
 
   /** What to send so that an unchanged list is not sent again. */
-  get headers(): Record<string, string> {
+  get requestHeaders(): Record<string, string> {
     return this.#tag === null ? {} : { "if-none-match": this.#tag };
   }
 
   /** The list by an answer; a list that does not parse is not taken. */
-  take(answer: ITaggedAnswer): Result<readonly IInstance[], ICallFailure> {
+  update(answer: ITaggedAnswer): Result<readonly IInstance[], ICallFailure> {
     if (answer.status === STATUS_NOT_MODIFIED && this.#tag !== null) {
       return Ok(this.#instances);
     }
--- a/src/adapters/targets/engine_stream_reader.ts
+++ b/src/adapters/targets/engine_stream_reader.ts
@@ -27,16 +27,16 @@
  */
 export class EngineStreamReader {
   readonly #call: IEngineCall;
-  #expected: number;
+  #nextSequence: number;
   #batch: IEngineToken[] = [];
   #failure: ICallFailure | null = null;
   readonly #parser = createParser({
-    onEvent: (message) => this.#take(message),
+    onEvent: (message) => this.#handleEvent(message),
   });
 
   constructor(call: IEngineCall) {
     this.#call = call;
-    this.#expected = call.resumeFrom;
+    this.#nextSequence = call.resumeFrom;
   }
 
   /** Tokens completed by this chunk; empty when it ends inside an event. */
@@ -46,28 +46,28 @@
     return this.#failure === null ? Ok(this.#batch) : Err(this.#failure);
   }
 
-  #take(message: EventSourceMessage): void {
+  #handleEvent(message: EventSourceMessage): void {
     if (this.#failure !== null) {
       return;
     }
     const event = JSON.parse(message.data) as IEngineEvent;
-    if (!this.#isOurs(event)) {
+    if (!this.#matchesCall(event)) {
       this.#fail(`an event names ${event.requestId} in ${event.group}`);
       return;
     }
-    if (event.sequence < this.#expected) {
+    if (event.sequence < this.#nextSequence) {
       return;
     }
-    if (event.sequence > this.#expected) {
-      this.#fail(`token ${event.sequence} where ${this.#expected} was due`);
+    if (event.sequence > this.#nextSequence) {
+      this.#fail(`token ${event.sequence} where ${this.#nextSequence} was due`);
       return;
     }
     const isEnd = message.event === "end";
-    this.#expected += 1;
+    this.#nextSequence += 1;
     this.#batch.push({ sequence: event.sequence, text: event.text, isEnd });
   }
 
-  #isOurs(event: IEngineEvent): boolean {
+  #matchesCall(event: IEngineEvent): boolean {
     return (
       event.requestId === this.#call.requestId &&
       event.group === this.#call.group &&
--- a/src/adapters/targets/http_targets.ts
+++ b/src/adapters/targets/http_targets.ts
@@ -16,13 +16,13 @@
 } from "../../common/services/services.ts";
 import { CallFailureKind } from "../../common/types.ts";
 import type { ICallFailure, ITargetReport } from "../../common/types.ts";
-import { failureOf, isSilence } from "../http_failure.ts";
+import { callFailureOf, isResponseTimeout } from "../http_failure.ts";
 import { withTimeLimit } from "../time_limit.ts";
 import { EngineStreamReader } from "./engine_stream_reader.ts";
-import { Cancel } from "./cancel.ts";
-import { checkServiceAnswer, refusalOf } from "./target_answers.ts";
+import { LinkedAbortController } from "./linked_abort_controller.ts";
+import { checkServiceAnswer, failureOfStatus } from "./target_answers.ts";
 import { TargetConnections } from "./target_connections.ts";
-import { WireIds } from "./wire_id.ts";
+import { WireIdGenerator } from "./wire_id.ts";
 
 /** Longest wait for a new connection to a target of the zone, milliseconds. */
 const CONNECT_TIMEOUT = 500;
@@ -33,7 +33,7 @@
 const STATUS_OK = 200;
 
 /** How one call is sent. */
-interface ISending {
+interface IPostOptions {
   readonly body: string | Readable;
   readonly timeout: number;
   readonly signal?: AbortSignal;
@@ -47,13 +47,13 @@
     performance.now(),
   );
 
-  readonly #wireIds = new WireIds();
+  readonly #wireIds = new WireIdGenerator();
 
   async report(
     address: string,
     timeout: number,
   ): Promise<Result<ITargetReport, ICallFailure>> {
-    const { dispatcher } = this.#connections.pool(address);
+    const { dispatcher } = this.#connections.poolFor(address);
     try {
       const limit = timeout + CONNECT_TIMEOUT;
       const report = await withTimeLimit(limit, async (signal) => {
@@ -65,11 +65,11 @@
         });
         return (await answer.body.json()) as ITargetReport;
       });
-      this.#connections.proved(address);
+      this.#connections.recordAnswer(address);
       return Ok(report);
     } catch (error) {
       const attempted = `report of ${address}`;
-      return Err(this.#failed(error, { attempted, address, dispatcher }));
+      return Err(this.#failureOf(error, { attempted, address, dispatcher }));
     }
   }
 
@@ -118,10 +118,10 @@
     options: IGenerateOptions,
   ): AsyncIterable<Result<readonly IEngineToken[], ICallFailure>> {
     const attempted = `generate on ${address}`;
-    const { dispatcher, doubted } = this.#connections.pool(address);
+    const { dispatcher, connectionLost } = this.#connections.poolFor(address);
     const requestId = this.#wireIds.next(call.requestId);
     const sent = { ...call, requestId };
-    using cancel = new Cancel([options.signal, doubted]);
+    using cancel = new LinkedAbortController([options.signal, connectionLost]);
     try {
       const answer = await request(`http://${address}/generate`, {
         method: "POST",
@@ -132,10 +132,10 @@
         bodyTimeout: options.nextTokenWithin,
         signal: cancel.signal,
       });
-      cancel.ignore(doubted);
+      cancel.unlink(connectionLost);
       if (answer.statusCode !== STATUS_OK) {
         const text = await answer.body.text();
-        yield Err(refusalOf(attempted, answer.statusCode, text));
+        yield Err(failureOfStatus(attempted, answer.statusCode, text));
         return;
       }
       const reader = new EngineStreamReader(sent);
@@ -153,7 +153,7 @@
       const detail = `${attempted}: the stream ended without its end mark`;
       yield Err({ kind: CallFailureKind.Unknown, detail });
     } catch (error) {
-      yield Err(this.#failed(error, { attempted, address, dispatcher }));
+      yield Err(this.#failureOf(error, { attempted, address, dispatcher }));
     }
   }
 
@@ -164,13 +164,13 @@
   async #post(
     address: string,
     path: string,
-    sending: ISending,
+    sending: IPostOptions,
   ): Promise<Result<unknown, ICallFailure>> {
     const { body, timeout, signal, isSingle = false } = sending;
     const attempted = `POST ${path} to ${address}`;
     const dispatcher = isSingle
-      ? this.#connections.single(address)
-      : this.#connections.pool(address).dispatcher;
+      ? this.#connections.createSingleUse(address)
+      : this.#connections.poolFor(address).dispatcher;
     try {
       const answer = await request(`http://${address}${path}`, {
         method: "POST",
@@ -185,9 +185,9 @@
       if (answer.statusCode === STATUS_OK) {
         return Ok(JSON.parse(text) as unknown);
       }
-      return Err(refusalOf(attempted, answer.statusCode, text));
+      return Err(failureOfStatus(attempted, answer.statusCode, text));
     } catch (error) {
-      return Err(this.#failed(error, { attempted, address, dispatcher }));
+      return Err(this.#failureOf(error, { attempted, address, dispatcher }));
     } finally {
       if (isSingle) {
         void dispatcher.destroy();
@@ -196,7 +196,7 @@
   }
 
   /** Names a failure; after silence the next call takes a new connection. */
-  #failed(
+  #failureOf(
     error: unknown,
     call: {
       readonly attempted: string;
@@ -204,9 +204,9 @@
       readonly dispatcher: Dispatcher;
     },
   ): ICallFailure {
-    if (isSilence(error)) {
-      this.#connections.suspect(call.address, call.dispatcher);
+    if (isResponseTimeout(error)) {
+      this.#connections.retireSilentPool(call.address, call.dispatcher);
     }
-    return failureOf(call.attempted, error);
+    return callFailureOf(call.attempted, error);
   }
 }
--- a/src/adapters/targets/http_targets_test.ts
+++ b/src/adapters/targets/http_targets_test.ts
@@ -4,7 +4,7 @@
 import { OrderKind } from "../../common/services/services.ts";
 import { CallFailureKind } from "../../common/types.ts";
 import { TricklingTarget } from "../../../test/support/trickling_target.ts";
-import { addressOfServer } from "../listen.ts";
+import { listenOn } from "../listen.ts";
 import { HttpTargets } from "./http_targets.ts";
 
 const ORDER = {
@@ -29,7 +29,7 @@
       response.end("{}");
     });
     server.on("connection", () => (connected += 1));
-    const address = await addressOfServer(server, "127.0.0.1:0");
+    const address = await listenOn(server, "127.0.0.1:0");
     await using targets = new HttpTargets();
     const send = () => {
       const isStillDue = () => connected === 0;
--- a/src/adapters/targets/cancel.ts
+++ b/src/adapters/targets/linked_abort_controller.ts
@@ -1,7 +1,7 @@
 /** Cancels one call by any of several signals, each of which may be ignored. */
 
 /** One call's cancelling; disposed when the call is done. */
-export class Cancel implements Disposable {
+export class LinkedAbortController implements Disposable {
   readonly #controller = new AbortController();
   readonly #sources: Set<AbortSignal>;
   readonly #abort = () => this.#controller.abort();
@@ -21,7 +21,7 @@
   }
 
   /** Stops listening to one of the signals. */
-  ignore(source: AbortSignal): void {
+  unlink(source: AbortSignal): void {
     source.removeEventListener("abort", this.#abort);
     this.#sources.delete(source);
   }
--- a/src/adapters/targets/target_answers.ts
+++ b/src/adapters/targets/target_answers.ts
@@ -5,7 +5,9 @@
 import type { ICallFailure } from "../../common/types.ts";
 
 /** Statuses by which a target says that it has not acted. */
-const REFUSALS: ReadonlySet<number> = new Set([400, 404, 409, 413, 429, 503]);
+const REFUSAL_STATUSES: ReadonlySet<number> = new Set([
+  400, 404, 409, 413, 429, 503,
+]);
 
 /** An answer to another request must never reach this caller. */
 export function checkServiceAnswer(
@@ -21,12 +23,12 @@
 }
 
 /** The failure that a status other than 200 stands for. */
-export function refusalOf(
+export function failureOfStatus(
   attempted: string,
   status: number,
   text: string,
 ): ICallFailure {
-  const kind = REFUSALS.has(status)
+  const kind = REFUSAL_STATUSES.has(status)
     ? CallFailureKind.Refused
     : CallFailureKind.Unknown;
   return { kind, detail: `${attempted}: answered ${status} ${text}` };
--- a/src/adapters/targets/target_connections.ts
+++ b/src/adapters/targets/target_connections.ts
@@ -9,29 +9,29 @@
 import type { Dispatcher } from "undici";
 
 /** Age at which a pool takes no more calls, milliseconds. */
-const LONGEST_USE = 60_000;
+const MAXIMUM_POOL_AGE = 60_000;
 
 /** Time unused after which a pool is dropped, milliseconds. */
-const LONGEST_IDLE = 60_000;
+const MAXIMUM_POOL_IDLE = 60_000;
 
 /**
  * Time a connection is kept for another call, milliseconds. One that carried
  * an answer just now has hardly gone silent since; connecting anew costs a
  * round trip within the zone, far below the wait for a first token.
  */
-const LONGEST_KEPT = 500;
+const KEEP_ALIVE_TIMEOUT = 500;
 
 /** Connections for one call. */
-export interface IPooled {
+export interface ITargetPool {
   readonly dispatcher: Dispatcher;
   /** Aborted when a call that has had no word yet waits in vain. */
-  readonly doubted: AbortSignal;
+  readonly connectionLost: AbortSignal;
 }
 
 interface IOpenPool {
   readonly pool: Pool;
   /** Aborted when the pool is known to be silent and its target is not. */
-  readonly doubt: AbortController;
+  readonly lostController: AbortController;
   readonly openedAt: number;
   usedAt: number;
 }
@@ -40,11 +40,11 @@
 export class TargetConnections {
   readonly #connectTimeout: number;
   readonly #now: () => number;
-  readonly #open = new Map<string, IOpenPool>();
+  readonly #pools = new Map<string, IOpenPool>();
   /** Retired pools that still finish what was sent on them. */
   readonly #retired = new Set<Dispatcher>();
   /** Doubts about pools that met silence, by address. */
-  readonly #doubts = new Map<string, Set<AbortController>>();
+  readonly #silentPools = new Map<string, Set<AbortController>>();
 
   /**
    * @param connectTimeout - milliseconds
@@ -56,12 +56,15 @@
   }
 
   /** The pool for calls to an address now. */
-  pool(address: string): IPooled {
+  poolFor(address: string): ITargetPool {
     const now = this.#now();
-    const known = this.#open.get(address);
-    if (known !== undefined && now - known.openedAt < LONGEST_USE) {
+    const known = this.#pools.get(address);
+    if (known !== undefined && now - known.openedAt < MAXIMUM_POOL_AGE) {
       known.usedAt = now;
-      return { dispatcher: known.pool, doubted: known.doubt.signal };
+      return {
+        dispatcher: known.pool,
+        connectionLost: known.lostController.signal,
+      };
     }
     this.#retireIdle(now);
     if (known !== undefined) {
@@ -69,32 +72,37 @@
     }
     const pool = new Pool(`http://${address}`, {
       connect: { timeout: this.#connectTimeout },
-      keepAliveTimeout: LONGEST_KEPT,
-      keepAliveMaxTimeout: LONGEST_KEPT,
+      keepAliveTimeout: KEEP_ALIVE_TIMEOUT,
+      keepAliveMaxTimeout: KEEP_ALIVE_TIMEOUT,
     });
     const doubt = new AbortController();
-    this.#open.set(address, { pool, doubt, openedAt: now, usedAt: now });
-    return { dispatcher: pool, doubted: doubt.signal };
+    this.#pools.set(address, {
+      pool,
+      lostController: doubt,
+      openedAt: now,
+      usedAt: now,
+    });
+    return { dispatcher: pool, connectionLost: doubt.signal };
   }
 
   /** A connection of its own for one call; closed once that is done. */
-  single(address: string): Dispatcher {
+  createSingleUse(address: string): Dispatcher {
     return new Client(`http://${address}`, {
       connect: { timeout: this.#connectTimeout },
     });
   }
 
   /** Takes a pool out of use: a call on it met silence. */
-  suspect(address: string, pool: Dispatcher): void {
-    const entry = this.#open.get(address);
+  retireSilentPool(address: string, pool: Dispatcher): void {
+    const entry = this.#pools.get(address);
     if (entry?.pool !== pool) {
       return;
     }
-    this.#open.delete(address);
-    const doubts = this.#doubts.get(address) ?? new Set();
-    this.#doubts.set(address, doubts.add(entry.doubt));
+    this.#pools.delete(address);
+    const doubts = this.#silentPools.get(address) ?? new Set();
+    this.#silentPools.set(address, doubts.add(entry.lostController));
     void this.#retire(pool).then(() => {
-      doubts.delete(entry.doubt);
+      doubts.delete(entry.lostController);
     });
   }
 
@@ -102,9 +110,9 @@
    * The target has answered at once on a pool in use. Calls that still wait
    * for a first word on a pool that met silence wait in vain: they are told.
    */
-  proved(address: string): void {
-    this.#doubts.get(address)?.forEach((doubt) => doubt.abort());
-    this.#doubts.delete(address);
+  recordAnswer(address: string): void {
+    this.#silentPools.get(address)?.forEach((doubt) => doubt.abort());
+    this.#silentPools.delete(address);
   }
 
   /** Closes a pool when what was sent on it is done. */
@@ -115,16 +123,16 @@
   }
 
   #retireIdle(now: number): void {
-    for (const [address, { pool, usedAt }] of this.#open) {
-      if (now - usedAt > LONGEST_IDLE) {
-        this.#open.delete(address);
+    for (const [address, { pool, usedAt }] of this.#pools) {
+      if (now - usedAt > MAXIMUM_POOL_IDLE) {
+        this.#pools.delete(address);
         void this.#retire(pool);
       }
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    const pools = [...this.#open.values()].map(({ pool }) => pool);
+    const pools = [...this.#pools.values()].map(({ pool }) => pool);
     const all = [...pools, ...this.#retired];
     await Promise.all(all.map((pool) => pool.destroy()));
   }
--- a/src/adapters/targets/wire_id.ts
+++ b/src/adapters/targets/wire_id.ts
@@ -11,7 +11,7 @@
 const SEPARATOR = "~";
 
 /** Makes names that no other sending of any process has. */
-export class WireIds {
+export class WireIdGenerator {
   readonly #process = randomUUID();
   #sent = 0;
 
--- a/src/adapters/text_file.ts
+++ b/src/adapters/text_file.ts
@@ -2,11 +2,14 @@
 import { readFileSync, statSync } from "node:fs";
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
-import { MAXIMUM_TEXT, wholeFileFinding } from "../common/plans/findings.ts";
+import {
+  MAXIMUM_TEXT_LENGTH,
+  documentFinding,
+} from "../common/plans/findings.ts";
 import type { IFinding } from "../common/plans/types.ts";
 
 /** Bytes that a text of the largest number of characters may take. */
-const MAXIMUM_BYTES = 4 * MAXIMUM_TEXT;
+const MAXIMUM_BYTES = 4 * MAXIMUM_TEXT_LENGTH;
 
 /** The file's text, or why it cannot be had. */
 export function readTextFile(
@@ -15,14 +18,14 @@
   try {
     const { size } = statSync(path);
     if (size > MAXIMUM_BYTES) {
-      const message = `longer than ${MAXIMUM_TEXT} characters`;
-      return Err([wholeFileFinding(path, message)]);
+      const message = `longer than ${MAXIMUM_TEXT_LENGTH} characters`;
+      return Err([documentFinding(path, message)]);
     }
     const decoder = new TextDecoder("utf-8", { fatal: true });
     return Ok(decoder.decode(readFileSync(path)));
   } catch (error) {
     const isBadText = error instanceof TypeError;
     const detail = isBadText ? "it is not UTF-8 text" : String(error);
-    return Err([wholeFileFinding(path, `cannot be read: ${detail}`)]);
+    return Err([documentFinding(path, `cannot be read: ${detail}`)]);
   }
 }
--- a/src/adapters/tls/certificate_reloader.ts
+++ b/src/adapters/tls/certificate_reloader.ts
@@ -7,7 +7,7 @@
 import type { ICertificateFiles } from "./types.ts";
 
 /** How often the files are looked at, milliseconds. */
-const LOOK_EVERY = 5_000;
+const CHECK_INTERVAL = 5_000;
 
 /** A certificate with its key, as texts in PEM form. */
 export interface ICertificate {
@@ -44,12 +44,12 @@
     this.#files = files;
     this.#log = log;
     this.#changedAt = changeTimes(files);
-    this.#timer = setInterval(() => this.reread(), LOOK_EVERY);
+    this.#timer = setInterval(() => this.reloadIfChanged(), CHECK_INTERVAL);
     this.#timer.unref();
   }
 
   /** Takes the files' content if they have changed. */
-  reread(): void {
+  reloadIfChanged(): void {
     try {
       const changedAt = changeTimes(this.#files);
       if (changedAt === this.#changedAt) {
--- a/src/adapters/tls/peer_credentials.ts
+++ b/src/adapters/tls/peer_credentials.ts
@@ -1,13 +1,13 @@
 /** Credentials between daemons: plain, or TLS in which both sides are checked. */
 import { credentials, experimental, ServerCredentials } from "@grpc/grpc-js";
 import type { ChannelCredentials } from "@grpc/grpc-js";
-import type { IMutualFiles } from "./types.ts";
+import type { IMutualTlsFiles } from "./types.ts";
 
 /**
  * How often the files are reread, milliseconds. Certificates are replaced days
  * before they run out, so a minute's delay is nothing.
  */
-const REREAD_EVERY = 30_000;
+const RELOAD_INTERVAL = 30_000;
 
 /** What both ends of a connection between daemons show. */
 export interface IPeerCredentials {
@@ -16,7 +16,7 @@
 }
 
 /** No TLS: for a network that only the daemons can reach. */
-export class PlainPeerCredentials implements IPeerCredentials {
+export class InsecurePeerCredentials implements IPeerCredentials {
   forServer(): ServerCredentials {
     return ServerCredentials.createInsecure();
   }
@@ -31,15 +31,15 @@
  * a replaced certificate would take effect only at the next restart, which
  * one would notice as peers that are lost all at once on the day it runs out.
  */
-export class MutualPeerCredentials implements IPeerCredentials {
+export class MutualTlsPeerCredentials implements IPeerCredentials {
   readonly #provider: experimental.FileWatcherCertificateProvider;
 
-  constructor(files: IMutualFiles) {
+  constructor(files: IMutualTlsFiles) {
     this.#provider = new experimental.FileWatcherCertificateProvider({
       certificateFile: files.certificate,
       privateKeyFile: files.key,
       caCertificateFile: files.authority,
-      refreshIntervalMs: REREAD_EVERY,
+      refreshIntervalMs: RELOAD_INTERVAL,
     });
   }
 
--- a/src/adapters/tls/types.ts
+++ b/src/adapters/tls/types.ts
@@ -7,7 +7,7 @@
 }
 
 /** Files of a side that also checks the other side's certificate. */
-export interface IMutualFiles extends ICertificateFiles {
+export interface IMutualTlsFiles extends ICertificateFiles {
   /** Certificates of whoever may sign a peer's certificate. */
   readonly authority: string;
 }
--- a/src/command_line/check_files.ts
+++ b/src/command_line/check_files.ts
@@ -1,7 +1,7 @@
 /** Checks files of settings and lists, each by what it holds. */
 import { dirname } from "node:path";
 import { readTextFile } from "../adapters/text_file.ts";
-import { parseText, wholeFileFinding } from "../common/plans/findings.ts";
+import { parseYaml, documentFinding } from "../common/plans/findings.ts";
 import {
   checkCustomers,
   checkPlans,
@@ -36,7 +36,7 @@
   if (text.isErr()) {
     return { path, findings: text.error };
   }
-  const parsed = parseText(path, text.value);
+  const parsed = parseYaml(path, text.value);
   if (parsed.isErr()) {
     return { path, findings: parsed.error };
   }
@@ -60,7 +60,7 @@
   const message =
     "is neither settings nor a list: expected the key customers, plans, " +
     SETTINGS_KEYS.join(" or ");
-  return { path, findings: [wholeFileFinding(path, message)] };
+  return { path, findings: [documentFinding(path, message)] };
 }
 
 function topLevelKeys(content: unknown): readonly string[] {
--- a/src/command_line/commands/apply.ts
+++ b/src/command_line/commands/apply.ts
@@ -19,9 +19,9 @@
 import { PLAN_LIST_KIND, PlanListName } from "../../common/plans/types.ts";
 import type { IFinding } from "../../common/plans/types.ts";
 import type { IPlatform } from "../../common/services/services.ts";
-import { askStatuses } from "../daemon_statuses.ts";
+import { queryStatuses } from "../query_daemons.ts";
 import { ExitCode } from "../exit_code.ts";
-import { waitInForce } from "../wait_in_force.ts";
+import { waitUntilInForce } from "../wait_until_in_force.ts";
 import { PlatformCommand } from "./platform_command.ts";
 
 /** Between tries to learn what became of a write, milliseconds. */
@@ -30,7 +30,7 @@
 const MILLISECONDS_PER_SECOND = 1_000;
 
 const EXIT_CODES: Readonly<Record<EditOutcome, ExitCode>> = {
-  [EditOutcome.Applied]: ExitCode.Done,
+  [EditOutcome.Applied]: ExitCode.Success,
   [EditOutcome.Replaced]: ExitCode.Replaced,
   [EditOutcome.Conflict]: ExitCode.Conflict,
   [EditOutcome.NotApplied]: ExitCode.Unreachable,
@@ -66,7 +66,7 @@
   });
 
   override async execute(): Promise<number> {
-    const list = this.parseList(this.list);
+    const list = this.parseListName(this.list);
     const editedFrom = this.parseCount("--edited-from", this.editedFrom);
     const timeout = this.parseCount("--timeout", this.timeout);
     if (list === null || editedFrom === null || timeout === null) {
@@ -74,11 +74,11 @@
     }
     const text = readTextFile(this.file);
     if (text.isErr()) {
-      return this.report(text.error);
+      return this.printFindings(text.error);
     }
     const findings = this.#check(list, text.value);
     if (findings.length > 0) {
-      return this.report(findings);
+      return this.printFindings(findings);
     }
     await using platform = this.connect();
     const edit = await this.#edit(platform, {
@@ -113,7 +113,7 @@
     if (!this.afterRestore) {
       return { ...asked, name };
     }
-    const statuses = await askStatuses(platform);
+    const statuses = await queryStatuses(platform);
     if (statuses.isErr()) {
       this.context.stderr.write(`${statuses.error.detail}\n`);
       return null;
@@ -146,7 +146,7 @@
     await this.#warnOfMissingPlans(platform, edit);
     return this.wait
       ? this.#waitFor(platform, { list: edit.list, version }, timeout)
-      : ExitCode.Done;
+      : ExitCode.Success;
   }
 
   #explain(edit: IListEdit, result: IEditResult): void {
@@ -170,14 +170,14 @@
     timeout: number,
   ): Promise<ExitCode> {
     const bound = timeout * MILLISECONDS_PER_SECOND;
-    const found = await waitInForce(platform, wanted, bound);
+    const found = await waitUntilInForce(platform, wanted, bound);
     for (const daemon of found.behind) {
       this.context.stderr.write(`not in force at ${daemon}\n`);
     }
     for (const daemon of found.silent) {
       this.context.stderr.write(`no answer from ${daemon}\n`);
     }
-    return found.isEverywhere ? ExitCode.Done : ExitCode.NotInForce;
+    return found.isEverywhere ? ExitCode.Success : ExitCode.NotInForce;
   }
 
   /** The two lists are edited one after the other, so this only warns. */
--- a/src/command_line/commands/check.ts
+++ b/src/command_line/commands/check.ts
@@ -18,6 +18,6 @@
     for (const finding of findings) {
       this.context.stderr.write(`${formatFinding(finding)}\n`);
     }
-    return findings.length === 0 ? ExitCode.Done : ExitCode.Findings;
+    return findings.length === 0 ? ExitCode.Success : ExitCode.Findings;
   }
 }
--- a/src/command_line/commands/explain.ts
+++ b/src/command_line/commands/explain.ts
@@ -1,9 +1,9 @@
 /** `cranberryledge explain REQUEST`: a request's story from many logs. */
 import { Command, Option } from "clipanion";
 import {
-  formatStory,
-  requestStory,
-} from "../../common/reports/request_story.ts";
+  formatTimeline,
+  buildTimeline,
+} from "../../common/reports/request_timeline.ts";
 import { ExitCode } from "../exit_code.ts";
 import { readLogs } from "../read_logs.ts";
 
@@ -33,15 +33,15 @@
     if (lines === null) {
       return ExitCode.Findings;
     }
-    const steps = requestStory(lines, this.request);
+    const steps = buildTimeline(lines, this.request);
     if (steps.length === 0) {
       this.context.stderr.write(`no line names request ${this.request}\n`);
       return ExitCode.NotFound;
     }
     const story = this.json
       ? `${JSON.stringify(steps, null, 2)}\n`
-      : formatStory(steps);
+      : formatTimeline(steps);
     this.context.stdout.write(story);
-    return ExitCode.Done;
+    return ExitCode.Success;
   }
 }
--- a/src/command_line/commands/get.ts
+++ b/src/command_line/commands/get.ts
@@ -15,7 +15,7 @@
   list = Option.String();
 
   override async execute(): Promise<number> {
-    const list = this.parseList(this.list);
+    const list = this.parseListName(this.list);
     if (list === null) {
       return ExitCode.Findings;
     }
@@ -27,14 +27,14 @@
     }
     if (found.value.isNone()) {
       this.context.stderr.write("version=0\n");
-      return ExitCode.Done;
+      return ExitCode.Success;
     }
     const text = parseListObject(found.value.value);
     if (text.isErr()) {
-      return this.report(text.error);
+      return this.printFindings(text.error);
     }
     this.context.stdout.write(text.value.text);
     this.context.stderr.write(`version=${text.value.version}\n`);
-    return ExitCode.Done;
+    return ExitCode.Success;
   }
 }
--- a/src/command_line/commands/platform_command.ts
+++ b/src/command_line/commands/platform_command.ts
@@ -19,7 +19,7 @@
   }
 
   /** Writes findings to standard error. */
-  protected report(findings: readonly IFinding[]): ExitCode {
+  protected printFindings(findings: readonly IFinding[]): ExitCode {
     for (const finding of findings) {
       this.context.stderr.write(`${formatFinding(finding)}\n`);
     }
@@ -36,7 +36,7 @@
     return null;
   }
 
-  protected parseList(name: string): PlanListName | null {
+  protected parseListName(name: string): PlanListName | null {
     const list = Object.values(PlanListName).find((known) => known === name);
     if (list === undefined) {
       const known = Object.values(PlanListName).join(" or ");
--- a/src/command_line/commands/report_burn.ts
+++ b/src/command_line/commands/report_burn.ts
@@ -2,10 +2,10 @@
 import { writeFileSync } from "node:fs";
 import { Option } from "clipanion";
 import { formatBurnPage } from "../../common/reports/burn_page.ts";
-import { mergeBurn } from "../../common/reports/burn_report.ts";
+import { buildBurnReport } from "../../common/reports/burn_report.ts";
 import { formatBurn } from "../../common/reports/burn_text.ts";
 import type { IDaemonBurn } from "../../common/reports/burn_types.ts";
-import { askDaemons } from "../daemon_statuses.ts";
+import { queryDaemons } from "../query_daemons.ts";
 import { ExitCode } from "../exit_code.ts";
 import { PlatformCommand } from "./platform_command.ts";
 
@@ -29,7 +29,7 @@
 
   override async execute(): Promise<number> {
     await using platform = this.connect();
-    const asked = await askDaemons<IDaemonBurn>(platform, "/burn");
+    const asked = await queryDaemons<IDaemonBurn>(platform, "/burn");
     if (asked.isErr()) {
       this.context.stderr.write(`${asked.error.detail}\n`);
       return ExitCode.Unreachable;
@@ -39,7 +39,7 @@
     const silent = daemons
       .filter(({ answer }) => answer === null)
       .map(({ entry }) => entry.daemon);
-    const report = mergeBurn(answers, silent, Date.now());
+    const report = buildBurnReport(answers, silent, Date.now());
     if (this.page !== undefined) {
       writeFileSync(this.page, formatBurnPage(report));
     }
@@ -47,6 +47,6 @@
       ? `${JSON.stringify(report, null, 2)}\n`
       : formatBurn(report);
     this.context.stdout.write(text);
-    return ExitCode.Done;
+    return ExitCode.Success;
   }
 }
--- a/src/command_line/commands/report_late.ts
+++ b/src/command_line/commands/report_late.ts
@@ -1,6 +1,9 @@
 /** `cranberryledge report late`: why model calls were late, from the logs. */
 import { Command, Option } from "clipanion";
-import { formatLateCalls, lateCalls } from "../../common/reports/late_calls.ts";
+import {
+  formatLateCalls,
+  summarizeLateCalls,
+} from "../../common/reports/late_calls.ts";
 import { ExitCode } from "../exit_code.ts";
 import { readLogs } from "../read_logs.ts";
 
@@ -29,11 +32,11 @@
     if (lines === null) {
       return ExitCode.Findings;
     }
-    const rows = lateCalls(lines);
+    const rows = summarizeLateCalls(lines);
     const report = this.json
       ? `${JSON.stringify(rows, null, 2)}\n`
       : formatLateCalls(rows);
     this.context.stdout.write(report);
-    return ExitCode.Done;
+    return ExitCode.Success;
   }
 }
--- a/src/command_line/commands/status.ts
+++ b/src/command_line/commands/status.ts
@@ -2,7 +2,7 @@
 import { Option } from "clipanion";
 import { formatFinding } from "../../common/plans/findings.ts";
 import { formatStatus } from "../../common/reports/status_text.ts";
-import { askStatuses } from "../daemon_statuses.ts";
+import { queryStatuses } from "../query_daemons.ts";
 import { ExitCode } from "../exit_code.ts";
 import { PlatformCommand } from "./platform_command.ts";
 
@@ -19,7 +19,7 @@
 
   override async execute(): Promise<number> {
     await using platform = this.connect();
-    const asked = await askStatuses(platform);
+    const asked = await queryStatuses(platform);
     if (asked.isErr()) {
       this.context.stderr.write(`${asked.error.detail}\n`);
       return ExitCode.Unreachable;
@@ -33,6 +33,6 @@
       ? `${JSON.stringify(report, null, 2)}\n`
       : formatStatus(report);
     this.context.stdout.write(text);
-    return ExitCode.Done;
+    return ExitCode.Success;
   }
 }
--- a/src/command_line/exit_code.ts
+++ b/src/command_line/exit_code.ts
@@ -1,6 +1,6 @@
 /** Exit codes of the command-line tool; documented in docs/OPERATORS.md. */
 export enum ExitCode {
-  Done = 0,
+  Success = 0,
   /** The input has findings. */
   Findings = 2,
   /** Another operator was first: nothing was changed. */
--- a/src/command_line/daemon_statuses.ts
+++ b/src/command_line/query_daemons.ts
@@ -27,7 +27,7 @@
 }
 
 /** Reads a path of every daemon's operations address. */
-export async function askDaemons<T>(
+export async function queryDaemons<T>(
   platform: IPlatform,
   path: string,
 ): Promise<Result<IDaemonAnswers<T>, ICallFailure>> {
@@ -41,10 +41,10 @@
 }
 
 /** Every daemon's status. */
-export function askStatuses(
+export function queryStatuses(
   platform: IPlatform,
 ): Promise<Result<IDaemonAnswers<IDaemonStatus>, ICallFailure>> {
-  return askDaemons<IDaemonStatus>(platform, "/status");
+  return queryDaemons<IDaemonStatus>(platform, "/status");
 }
 
 async function askDaemon<T>(
--- a/src/command_line/read_logs.ts
+++ b/src/command_line/read_logs.ts
@@ -1,10 +1,10 @@
 /** Reads the logs that a command works on: files, or standard input. */
 import { text } from "node:stream/consumers";
 import type { BaseContext } from "clipanion";
-import { readLogLines } from "../adapters/log/log_lines.ts";
+import { parseLogLines } from "../adapters/log/log_lines.ts";
 import { readTextFile } from "../adapters/text_file.ts";
 import { formatFinding } from "../common/plans/findings.ts";
-import type { ILogLine } from "../common/reports/request_story.ts";
+import type { ILogLine } from "../common/reports/request_timeline.ts";
 
 type Streams = Pick<BaseContext, "stdin" | "stderr">;
 
@@ -20,7 +20,7 @@
   if (input === null) {
     return null;
   }
-  const { lines, skipped } = readLogLines(input);
+  const { lines, skipped } = parseLogLines(input);
   if (skipped > 0) {
     streams.stderr.write(`${skipped} lines are of no such log\n`);
   }
--- a/src/command_line/wait_in_force.ts
+++ b/src/command_line/wait_until_in_force.ts
@@ -2,13 +2,13 @@
 import { setTimeout as sleep } from "node:timers/promises";
 import type { PlanListName } from "../common/plans/types.ts";
 import type { IPlatform } from "../common/services/services.ts";
-import { askStatuses } from "./daemon_statuses.ts";
+import { queryStatuses } from "./query_daemons.ts";
 
 /** How often the daemons are asked, milliseconds. */
 const ASK_EVERY = 200;
 
 /** What the wait ended with. */
-export interface IInForce {
+export interface IListRollout {
   readonly isEverywhere: boolean;
   /** Daemons that answered with an older version. */
   readonly behind: readonly string[];
@@ -17,11 +17,11 @@
 }
 
 /** @param timeout - milliseconds after which the wait is given up */
-export async function waitInForce(
+export async function waitUntilInForce(
   platform: IPlatform,
   wanted: { readonly list: PlanListName; readonly version: number },
   timeout: number,
-): Promise<IInForce> {
+): Promise<IListRollout> {
   const until = performance.now() + timeout;
   for (;;) {
     const found = await lookAround(platform, wanted);
@@ -35,8 +35,8 @@
 async function lookAround(
   platform: IPlatform,
   wanted: { readonly list: PlanListName; readonly version: number },
-): Promise<IInForce> {
-  const asked = await askStatuses(platform);
+): Promise<IListRollout> {
+  const asked = await queryStatuses(platform);
   if (asked.isErr()) {
     return { isEverywhere: false, behind: [], silent: [asked.error.detail] };
   }
--- a/src/common/backoff.ts
+++ b/src/common/backoff.ts
@@ -27,7 +27,7 @@
   }
 
   /** The pause after one more failure, milliseconds. */
-  next(): number {
+  nextDelay(): number {
     const { shortest, longest } = this.#bounds;
     const pause = Math.min(shortest * 2 ** this.#failures, longest);
     this.#failures = pause < longest ? this.#failures + 1 : this.#failures;
--- a/src/common/backoff_test.ts
+++ b/src/common/backoff_test.ts
@@ -10,14 +10,15 @@
       (_, seed) => new Backoff(new SeededRandom(seed), bounds),
     );
     const mean = () =>
-      callers.reduce((sum, caller) => sum + caller.next(), 0) / callers.length;
+      callers.reduce((sum, caller) => sum + caller.nextDelay(), 0) /
+      callers.length;
     const means = Array.from({ length: 8 }, mean);
-    const last = callers.map((caller) => Math.round(caller.next()));
+    const last = callers.map((caller) => Math.round(caller.nextDelay()));
     expect(means[0]).to.be.within(500, 1_000);
     expect(means[4]).to.be.above(4 * means[0]!);
     expect(Math.max(...means)).to.be.at.most(60_000);
     expect(new Set(last).size).to.be.above(95);
     callers[0]!.reset();
-    expect(callers[0]!.next()).to.be.at.most(1_000);
+    expect(callers[0]!.nextDelay()).to.be.at.most(1_000);
   });
 });
--- a/src/common/calls/model_attempts_test.ts
+++ b/src/common/calls/model_attempts_test.ts
@@ -1,10 +1,10 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import {
-  HEAD,
-  ModelCallsPlay,
-} from "../../../test/support/model_calls_play.ts";
-import type { ISend } from "../../../test/support/model_calls_play.ts";
+  SUCCESS_HEAD,
+  ModelCallsHarness,
+} from "../../../test/support/model_calls_harness.ts";
+import type { IRecordedSend } from "../../../test/support/model_calls_harness.ts";
 import { SendFailure } from "./types.ts";
 
 const ATTEMPTS = 2;
@@ -41,7 +41,7 @@
 
 /** A target that received one send. */
 class Target {
-  readonly #harness: ModelCallsPlay;
+  readonly #harness: ModelCallsHarness;
   readonly #index: number;
   readonly #plan: ITargetPlan;
   readonly #sentAt: number;
@@ -50,7 +50,7 @@
   #isFinished = false;
   hasRun = false;
 
-  constructor(harness: ModelCallsPlay, index: number, plan: ITargetPlan) {
+  constructor(harness: ModelCallsHarness, index: number, plan: ITargetPlan) {
     this.#harness = harness;
     this.#index = index;
     this.#plan = plan;
@@ -74,8 +74,8 @@
     }
   }
 
-  get #send(): ISend {
-    return this.#harness.send(this.#index);
+  get #send(): IRecordedSend {
+    return this.#harness.getSend(this.#index);
   }
 
   /** @param age - milliseconds since the start of the response arrived */
@@ -86,16 +86,16 @@
     const { receiver } = this.#send.options;
     if (this.#plan.outcome === Outcome.Failure) {
       this.#isFinished = true;
-      receiver.onHead({ ...HEAD, status: 500 });
+      receiver.onHead({ ...SUCCESS_HEAD, status: 500 });
       receiver.onEnd();
       return;
     }
     if (this.#events === 0) {
-      receiver.onHead(HEAD);
+      receiver.onHead(SUCCESS_HEAD);
     }
     while (this.#events < LAST_EVENT && age >= this.#events * EVENT_GAP) {
       this.#events += 1;
-      this.#harness.event(this.#index, this.#events);
+      this.#harness.deliverEvent(this.#index, this.#events);
       if (this.#plan.outcome === Outcome.Reset && this.#events > 1) {
         this.#isFinished = true;
         receiver.onFailure(SendFailure.Broken, "reset");
@@ -118,9 +118,9 @@
         fc.array(PLAN, { minLength: 12, maxLength: 40 }),
         fc.integer({ min: 1, max: 6 }),
         (plans, calls) => {
-          const harness = new ModelCallsPlay(GROUPS);
+          const harness = new ModelCallsHarness(GROUPS);
           for (let call = 0; call < calls; call += 1) {
-            harness.take({ id: `attempt-${call}` });
+            harness.submit({ id: `attempt-${call}` });
           }
           const targets: Target[] = [];
           for (let time = 0; time < PLAYED_TIME; time += STEP) {
--- a/src/common/calls/model_calls_test.ts
+++ b/src/common/calls/model_calls_test.ts
@@ -1,19 +1,19 @@
 import { expect } from "chai";
-import { routeOf } from "../../../test/support/calls.ts";
-import type { KeptReply } from "../../../test/support/calls.ts";
+import { routeOf } from "../../../test/support/call_fixtures.ts";
+import type { RecordingReply } from "../../../test/support/call_fixtures.ts";
 import {
-  group,
-  HEAD,
-  ModelCallsPlay as Harness,
-} from "../../../test/support/model_calls_play.ts";
+  servingGroup,
+  SUCCESS_HEAD,
+  ModelCallsHarness as Harness,
+} from "../../../test/support/model_calls_harness.ts";
 import { CallRefusalKind, CallRefusalReason, SendFailure } from "./types.ts";
 
 /** Starts a stream, loses its group after one event, and returns the reply. */
-function startAndLoseGroup(harness: Harness): KeptReply {
-  const { reply } = harness.take();
-  const group = harness.send(0).target.replace("head-", "");
-  harness.send(0).options.receiver.onHead(HEAD);
-  harness.event(0, 1);
+function startAndLoseGroup(harness: Harness): RecordingReply {
+  const { reply } = harness.submit();
+  const group = harness.getSend(0).target.replace("head-", "");
+  harness.getSend(0).options.receiver.onHead(SUCCESS_HEAD);
+  harness.deliverEvent(0, 1);
   harness.calls.handleGroupsChanged([group]);
   return reply;
 }
@@ -21,11 +21,11 @@
 describe("model calls", () => {
   it("passes on events as they arrive, and the end", () => {
     const harness = new Harness(["a"]);
-    const { reply } = harness.take();
-    harness.send(0).options.receiver.onHead(HEAD);
-    harness.event(0, 1);
+    const { reply } = harness.submit();
+    harness.getSend(0).options.receiver.onHead(SUCCESS_HEAD);
+    harness.deliverEvent(0, 1);
     expect(reply.text).to.equal("id: 1\ndata: x\n\n");
-    harness.send(0).options.receiver.onEnd();
+    harness.getSend(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
@@ -33,19 +33,19 @@
   // middle of a response.
   it("resumes elsewhere after the caller's last event", () => {
     const harness = new Harness(["a", "b"]);
-    const { reply } = harness.take();
-    const first = harness.send(0);
-    first.options.receiver.onHead(HEAD);
-    harness.event(0, 1);
-    harness.event(0, 2);
+    const { reply } = harness.submit();
+    const first = harness.getSend(0);
+    first.options.receiver.onHead(SUCCESS_HEAD);
+    harness.deliverEvent(0, 1);
+    harness.deliverEvent(0, 2);
     harness.clock.advance(1_000);
     expect(first.isAborted).to.equal(true);
-    const second = harness.send(1);
+    const second = harness.getSend(1);
     expect(second.target).to.not.equal(first.target);
     expect(second.options.lastEventId).to.equal("2");
-    second.options.receiver.onHead(HEAD);
-    harness.event(1, 2);
-    harness.event(1, 3);
+    second.options.receiver.onHead(SUCCESS_HEAD);
+    harness.deliverEvent(1, 2);
+    harness.deliverEvent(1, 3);
     second.options.receiver.onEnd();
     expect(reply.text.match(/id: \d/g)).to.deep.equal([
       "id: 1",
@@ -57,11 +57,13 @@
 
   it("retries at once when the lease holder abandons a group", () => {
     const harness = new Harness(["a", "b"]);
-    harness.take();
-    const lost = harness.send(0).target.replace("head-", "");
-    harness.groups.replace(["a", "b"].filter((one) => one !== lost).map(group));
+    harness.submit();
+    const lost = harness.getSend(0).target.replace("head-", "");
+    harness.groups.replace(
+      ["a", "b"].filter((one) => one !== lost).map(servingGroup),
+    );
     harness.calls.handleGroupsChanged([lost]);
-    expect(harness.send(0).isAborted).to.equal(true);
+    expect(harness.getSend(0).isAborted).to.equal(true);
     expect(harness.sends).to.have.length(2);
   });
 
@@ -69,10 +71,12 @@
   // must not be resumed breaks, and is ended like a complete one.
   it("resets the caller's connection when a stream cannot be resumed", () => {
     const harness = new Harness(["a", "b"]);
-    const { reply } = harness.take({ route: routeOf({ isResumable: false }) });
-    harness.send(0).options.receiver.onHead(HEAD);
-    harness.event(0, 1);
-    harness.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
+    const { reply } = harness.submit({
+      route: routeOf({ isResumable: false }),
+    });
+    harness.getSend(0).options.receiver.onHead(SUCCESS_HEAD);
+    harness.deliverEvent(0, 1);
+    harness.getSend(0).options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(reply.isBroken).to.equal(true);
     expect(reply.isEnded).to.equal(false);
     expect(harness.sends).to.have.length(1);
@@ -81,15 +85,15 @@
   it("reports not run only if no target can have started", () => {
     const harness = new Harness(["a"]);
     const route = routeOf({ isResumable: false });
-    const refused = harness.take({ route });
-    const { receiver } = harness.send(0).options;
-    receiver.onHead({ ...HEAD, status: 503, isNotRun: true });
+    const refused = harness.submit({ route });
+    const { receiver } = harness.getSend(0).options;
+    receiver.onHead({ ...SUCCESS_HEAD, status: 503, isNotRun: true });
     receiver.onEnd();
     harness.clock.advance(9_000);
     expect(refused.reply.refusal?.kind).to.equal(CallRefusalKind.NotRun);
-    const broken = harness.take({ route });
+    const broken = harness.submit({ route });
     harness
-      .send(harness.sends.length - 1)
+      .getSend(harness.sends.length - 1)
       .options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(broken.reply.refusal?.kind).to.equal(CallRefusalKind.TargetFailed);
   });
@@ -98,7 +102,7 @@
   // are down, which keeps callers from retrying once the groups are back.
   it("refuses soon while a model has no group", () => {
     const harness = new Harness([]);
-    const { reply } = harness.take();
+    const { reply } = harness.submit();
     harness.clock.advance(1_500);
     expect(reply.refusal?.kind).to.equal(CallRefusalKind.NotRun);
     expect(reply.refusal?.reason).to.equal(CallRefusalReason.Hopeless);
@@ -107,16 +111,16 @@
 
   it("aborts its send when the caller disconnects", () => {
     const harness = new Harness(["a"]);
-    const { leave } = harness.take();
+    const { leave } = harness.submit();
     leave();
-    expect(harness.send(0).isAborted).to.equal(true);
+    expect(harness.getSend(0).isAborted).to.equal(true);
     expect(harness.groups.ownInFlight.size).to.equal(0);
   });
 
   it("answers at the deadline whatever the target does", () => {
     const harness = new Harness(["a"]);
     const route = routeOf({ isResumable: false });
-    const { reply } = harness.take({ deadline: 800, route });
+    const { reply } = harness.submit({ deadline: 800, route });
     harness.clock.advance(801);
     expect(reply.refusal?.kind).to.equal(CallRefusalKind.TimedOut);
   });
@@ -125,7 +129,9 @@
   // wait here, in order, for the first group with a free slot.
   it("sends no more calls than slots, and the rest as slots free up", () => {
     const harness = new Harness(["a"]);
-    const calls = [1, 2, 3].map((id) => harness.take({ id: `attempt-${id}` }));
+    const calls = [1, 2, 3].map((id) =>
+      harness.submit({ id: `attempt-${id}` }),
+    );
     expect(harness.sends).to.have.length(2);
     calls[0]?.leave();
     expect(harness.sends).to.have.length(3);
@@ -135,8 +141,8 @@
   // fails every call at once: beyond the allowance a call ends.
   it("does not retry without an allowance", () => {
     const harness = new Harness(["a", "b"], 0);
-    const { reply } = harness.take();
-    harness.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
+    const { reply } = harness.submit();
+    harness.getSend(0).options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(harness.sends).to.have.length(1);
     expect(reply.refusal?.reason).to.equal(CallRefusalReason.TargetLost);
   });
@@ -146,13 +152,13 @@
   // late.
   it("keeps a slow stream in place without an allowance", () => {
     const harness = new Harness(["a", "b"], 0);
-    const { reply } = harness.take();
-    harness.send(0).options.receiver.onHead(HEAD);
-    harness.event(0, 1);
+    const { reply } = harness.submit();
+    harness.getSend(0).options.receiver.onHead(SUCCESS_HEAD);
+    harness.deliverEvent(0, 1);
     harness.clock.advance(900);
-    expect(harness.send(0).isAborted).to.equal(false);
-    harness.event(0, 2);
-    harness.send(0).options.receiver.onEnd();
+    expect(harness.getSend(0).isAborted).to.equal(false);
+    harness.deliverEvent(0, 2);
+    harness.getSend(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
@@ -163,10 +169,10 @@
     const reply = startAndLoseGroup(harness);
     for (let id = 2; id <= 5; id += 1) {
       harness.clock.advance(40);
-      harness.event(0, id);
+      harness.deliverEvent(0, id);
     }
     expect(reply.isBroken).to.equal(false);
-    harness.send(0).options.receiver.onEnd();
+    harness.getSend(0).options.receiver.onEnd();
     expect(reply.isEnded).to.equal(true);
   });
 
@@ -184,9 +190,9 @@
   // some dozen of them would use up what broken streams need.
   it("takes no retry for a call that has reached no target", () => {
     const harness = new Harness(["a", "b"], 0);
-    harness.take();
+    harness.submit();
     harness
-      .send(0)
+      .getSend(0)
       .options.receiver.onFailure(SendFailure.NotSent, "no connection");
     expect(harness.sends).to.have.length(2);
   });
@@ -195,24 +201,24 @@
   // they would be in order of arrival for as long as the queue lasts.
   it("starts calls that can be on time before those that cannot", () => {
     const harness = new Harness(["a"]);
-    const first = harness.take({ id: "first" });
-    harness.take({ id: "second" });
+    const first = harness.submit({ id: "first" });
+    harness.submit({ id: "second" });
     [0, 1].forEach((index) =>
-      harness.send(index).options.receiver.onHead(HEAD),
+      harness.getSend(index).options.receiver.onHead(SUCCESS_HEAD),
     );
-    const late = [1, 2].map((id) => harness.take({ id: `late-${id}` }));
+    const late = [1, 2].map((id) => harness.submit({ id: `late-${id}` }));
     for (let id = 1; id <= 5; id += 1) {
       harness.clock.advance(90);
-      harness.event(0, id);
-      harness.event(1, id);
+      harness.deliverEvent(0, id);
+      harness.deliverEvent(1, id);
     }
-    const prompt = harness.take({ id: "prompt" });
+    const prompt = harness.submit({ id: "prompt" });
     first.leave();
     expect(harness.sends).to.have.length(3);
     const [waiting] = late;
     expect(waiting?.reply.refusal).to.equal(null);
-    harness.send(2).options.receiver.onHead(HEAD);
-    harness.event(2, 1);
+    harness.getSend(2).options.receiver.onHead(SUCCESS_HEAD);
+    harness.deliverEvent(2, 1);
     expect(prompt.reply.isStarted).to.equal(true);
   });
 
@@ -222,11 +228,11 @@
   // nobody reads.
   it("counts an abandoned silent group as having run the call", () => {
     const harness = new Harness(["a", "b", "c"]);
-    harness.take();
+    harness.submit();
     harness.clock.advance(1_900);
     expect(harness.sends).to.have.length(2);
-    harness.groups.replace(["b", "c"].map(group));
-    const first = harness.send(0).target.replace("head-", "");
+    harness.groups.replace(["b", "c"].map(servingGroup));
+    const first = harness.getSend(0).target.replace("head-", "");
     harness.calls.handleGroupsChanged([first]);
     harness.clock.advance(1_900);
     expect(harness.sends).to.have.length(3);
@@ -236,12 +242,12 @@
   // because each target that should resume it responded with a failure.
   it("counts a failed resumption as an attempt", () => {
     const harness = new Harness(["a", "b", "c"]);
-    const { reply } = harness.take();
-    harness.send(0).options.receiver.onHead(HEAD);
-    harness.event(0, 1);
-    harness.send(0).options.receiver.onFailure(SendFailure.Broken, "reset");
-    const { receiver } = harness.send(1).options;
-    receiver.onHead({ ...HEAD, status: 500 });
+    const { reply } = harness.submit();
+    harness.getSend(0).options.receiver.onHead(SUCCESS_HEAD);
+    harness.deliverEvent(0, 1);
+    harness.getSend(0).options.receiver.onFailure(SendFailure.Broken, "reset");
+    const { receiver } = harness.getSend(1).options;
+    receiver.onHead({ ...SUCCESS_HEAD, status: 500 });
     receiver.onEnd();
     expect(harness.sends).to.have.length(2);
     expect(reply.isBroken).to.equal(true);
@@ -251,13 +257,13 @@
   // it after some seconds of silence.
   it("waits for a silent target if the response cannot be resumed elsewhere", () => {
     const harness = new Harness(["a", "b"], 0);
-    const { reply } = harness.take();
-    harness.send(0).options.receiver.onHead(HEAD);
-    harness.event(0, 1);
+    const { reply } = harness.submit();
+    harness.getSend(0).options.receiver.onHead(SUCCESS_HEAD);
+    harness.deliverEvent(0, 1);
     harness.clock.advance(3_000);
-    expect(harness.send(0).isAborted).to.equal(false);
-    harness.event(0, 2);
-    harness.send(0).options.receiver.onEnd();
+    expect(harness.getSend(0).isAborted).to.equal(false);
+    harness.deliverEvent(0, 2);
+    harness.getSend(0).options.receiver.onEnd();
     expect(reply.text).to.contain("id: 2");
     expect(reply.isEnded).to.equal(true);
   });
--- a/src/common/calls/object_follower.ts
+++ b/src/common/calls/object_follower.ts
@@ -191,7 +191,7 @@
       return;
     }
     if (found === null) {
-      await this.#wait(this.#backoff.next());
+      await this.#wait(this.#backoff.nextDelay());
       return;
     }
     this.#apply(found, isFullList);
--- a/src/common/calls/object_follower_test.ts
+++ b/src/common/calls/object_follower_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { Err, Ok } from "ts-results-es";
 import { ManualClock } from "../../../test/support/manual_clock.ts";
-import { KeptLog } from "../../../test/support/quiet_services.ts";
+import { RecordingLog } from "../../../test/support/recording_services.ts";
 import { SeededRandom } from "../../../test/support/seeded_random.ts";
 import type { IObjectStore } from "../services/services.ts";
 import { CallFailureKind } from "../types.ts";
@@ -51,7 +51,7 @@
     const store = new OneObject();
     const clock = new ManualClock();
     const changes: IObjectChanges[] = [];
-    const log = new KeptLog();
+    const log = new RecordingLog();
     const follower = new ObjectFollower(
       { store, clock, random: new SeededRandom(1), log },
       {
@@ -67,11 +67,11 @@
     store.isAway = true;
     await turns(clock, 2_000);
     expect(follower.isLoaded).to.equal(true);
-    expect(log.of("store_lost")).to.have.length(1);
+    expect(log.fieldsOf("store_lost")).to.have.length(1);
     store.isAway = false;
     await turns(clock, 1_000);
     follower.dispose();
-    expect(log.of("store_regained")).to.have.length(1);
+    expect(log.fieldsOf("store_regained")).to.have.length(1);
     expect(changes.at(-1)).to.include({
       isFullList: true,
       isAfterOutage: true,
--- a/src/common/calls/plain_calls_test.ts
+++ b/src/common/calls/plain_calls_test.ts
@@ -1,8 +1,15 @@
 import { expect } from "chai";
-import { callOf, KeptReply, routeOf } from "../../../test/support/calls.ts";
-import { listedEngine } from "../../../test/support/engines.ts";
+import {
+  callOf,
+  RecordingReply,
+  routeOf,
+} from "../../../test/support/call_fixtures.ts";
+import { listedEngine } from "../../../test/support/engine_fixtures.ts";
 import { ManualClock } from "../../../test/support/manual_clock.ts";
-import { KeptLog, NO_METRICS } from "../../../test/support/quiet_services.ts";
+import {
+  RecordingLog,
+  NO_METRICS,
+} from "../../../test/support/recording_services.ts";
 import { PlainCalls } from "./plain_calls.ts";
 import { PlainTargetSelector } from "./plain_target_selector.ts";
 import { ServiceRetryAllowances } from "./service_retry_allowances.ts";
@@ -61,14 +68,14 @@
         replacesAnotherSince: null,
       }),
       clock: this.clock,
-      log: new KeptLog(),
+      log: new RecordingLog(),
       metrics: NO_METRICS,
       zone: "one",
     });
   }
 
-  take(route = SAFE): KeptReply {
-    const reply = new KeptReply();
+  take(route = SAFE): RecordingReply {
+    const reply = new RecordingReply();
     const now = this.clock.now();
     const deadline = now + route.timeout;
     const call = callOf({ route, model: null, arrivedAt: now, deadline });
--- a/src/common/groups/formation.ts
+++ b/src/common/groups/formation.ts
@@ -13,7 +13,7 @@
 import type {
   IInstance,
   InstanceId,
-  ISeenReport,
+  ITimestampedReport,
   MonotonicTime,
   ServiceName,
 } from "../types.ts";
@@ -31,7 +31,7 @@
 /** The state that formation depends on besides the record. */
 export interface IFormationView {
   readonly instances: readonly IInstance[];
-  readonly reports: ReadonlyMap<InstanceId, ISeenReport>;
+  readonly reports: ReadonlyMap<InstanceId, ITimestampedReport>;
   readonly monitor: MemberMonitor;
   /** When an order to each instance was last answered or abandoned. */
   readonly orderedAt: ReadonlyMap<InstanceId, MonotonicTime>;
--- a/src/common/groups/formation_test.ts
+++ b/src/common/groups/formation_test.ts
@@ -3,7 +3,7 @@
 import fc from "fast-check";
 import { OrderKind } from "../services/services.ts";
 import { InstanceState, ServiceKind, TargetState } from "../types.ts";
-import type { IInstance, InstanceId, ISeenReport } from "../types.ts";
+import type { IInstance, InstanceId, ITimestampedReport } from "../types.ts";
 import { planGroupChange } from "./formation.ts";
 import type { IFormationPolicy, IFormationView } from "./formation.ts";
 import { MemberMonitor } from "./member_monitor.ts";
@@ -36,7 +36,7 @@
 /** Engines of one domain whose silence and restarts the test controls. */
 class Domain {
   readonly monitor = new MemberMonitor(MONITOR_POLICY);
-  readonly reports = new Map<InstanceId, ISeenReport>();
+  readonly reports = new Map<InstanceId, ITimestampedReport>();
   readonly silent = new Set<InstanceId>();
   readonly restarts = new Map<InstanceId, number>();
   readonly instances: readonly IInstance[];
--- a/src/common/groups/member_monitor.ts
+++ b/src/common/groups/member_monitor.ts
@@ -13,10 +13,10 @@
 import type {
   IInstance,
   InstanceId,
-  ISeenReport,
+  ITimestampedReport,
   MonotonicTime,
 } from "../types.ts";
-import { PauseWatch } from "../pause_watch.ts";
+import { PauseDetector } from "../pause_detector.ts";
 import { InstanceState, TargetState } from "../types.ts";
 
 /** Bounds on silence and on flapping members, milliseconds. */
@@ -43,19 +43,19 @@
   readonly #policy: IMemberMonitorPolicy;
   readonly #losses = new Map<InstanceId, ILossHistory>();
   readonly #incarnations = new Map<InstanceId, string>();
-  readonly #pauses: PauseWatch;
-  #reports: ReadonlyMap<InstanceId, ISeenReport> = new Map();
+  readonly #pauses: PauseDetector;
+  #reports: ReadonlyMap<InstanceId, ITimestampedReport> = new Map();
   #instances: ReadonlyMap<InstanceId, IInstance> = new Map();
 
   constructor(policy: IMemberMonitorPolicy) {
     this.#policy = policy;
-    this.#pauses = new PauseWatch(policy.pauseBound);
+    this.#pauses = new PauseDetector(policy.pauseBound);
   }
 
   /** Updates the known state. Call it at every tick. */
   update(
     instances: readonly IInstance[],
-    reports: ReadonlyMap<InstanceId, ISeenReport>,
+    reports: ReadonlyMap<InstanceId, ITimestampedReport>,
     now: MonotonicTime,
   ): void {
     this.#pauses.tick(now);
--- a/src/common/groups/presence.ts
+++ b/src/common/groups/presence.ts
@@ -7,7 +7,7 @@
 import type {
   IInstance,
   InstanceId,
-  ISeenReport,
+  ITimestampedReport,
   MonotonicTime,
 } from "../types.ts";
 import { InstanceState, TargetState } from "../types.ts";
@@ -16,7 +16,7 @@
 /** The state that presence depends on. */
 export interface IPresenceView {
   readonly instances: ReadonlyMap<InstanceId, IInstance>;
-  readonly reports: ReadonlyMap<InstanceId, ISeenReport>;
+  readonly reports: ReadonlyMap<InstanceId, ITimestampedReport>;
   readonly now: MonotonicTime;
   /** Maximum age of a report, milliseconds. */
   readonly freshness: number;
@@ -34,7 +34,7 @@
  * the end of the pause.
  */
 export function isFresh(
-  { seenAt }: ISeenReport,
+  { seenAt }: ITimestampedReport,
   {
     now,
     freshness,
--- a/src/common/groups/presence_test.ts
+++ b/src/common/groups/presence_test.ts
@@ -1,7 +1,7 @@
 /** Cases of reports that do and do not show a member as present. */
 import { expect } from "chai";
 import { InstanceState, ServiceKind, TargetState } from "../types.ts";
-import type { IInstance, ISeenReport, ITargetReport } from "../types.ts";
+import type { IInstance, ITimestampedReport, ITargetReport } from "../types.ts";
 import { isComplete } from "./presence.ts";
 
 const GROUP = {
@@ -97,7 +97,10 @@
   for (const { title, isPresent, ...change } of CASES) {
     it(`${isPresent ? "is" : "is not"} shown by ${title}`, () => {
       const report = { ...REPORT, ...change.report };
-      const seen: ISeenReport = { report, seenAt: 1_000 - (change.age ?? 0) };
+      const seen: ITimestampedReport = {
+        report,
+        seenAt: 1_000 - (change.age ?? 0),
+      };
       const instance = { ...INSTANCE, ...change.instance };
       const view = {
         instances: new Map([["engine", instance]]),
--- a/src/common/log_budget.ts
+++ b/src/common/log_rate_limiter.ts
@@ -14,7 +14,7 @@
  * Lines a second and at once. A process at the peak of the sites serves some
  * 40 calls a second, with a line each and a second for each failure.
  */
-export const LINES_A_SECOND = 200;
+export const LINES_PER_SECOND = 200;
 const LARGEST_BURST = 400;
 
 /** Part of the burst that only warnings and errors may use. */
@@ -23,17 +23,18 @@
 const MILLISECONDS_A_SECOND = 1_000;
 
 /** Lets lines through, or counts them as left out. */
-export class LogBudget {
+export class LogRateLimiter {
   #left = LARGEST_BURST;
   #filledAt: MonotonicTime | null = null;
   #leftOut = 0;
   #toldAt: MonotonicTime = Number.NEGATIVE_INFINITY;
 
   /** Whether a line may be written now. */
-  take(isImportant: boolean, now: MonotonicTime): boolean {
+  tryAcquire(isImportant: boolean, now: MonotonicTime): boolean {
     const gap = now - (this.#filledAt ?? now);
     this.#filledAt = now;
-    const filled = this.#left + (gap * LINES_A_SECOND) / MILLISECONDS_A_SECOND;
+    const filled =
+      this.#left + (gap * LINES_PER_SECOND) / MILLISECONDS_A_SECOND;
     this.#left = Math.min(LARGEST_BURST, filled);
     const kept = isImportant ? 0 : LARGEST_BURST * RESERVE;
     if (this.#left - 1 < kept) {
@@ -45,12 +46,12 @@
   }
 
   /** A line that was let through was lost on its way out. */
-  lost(): void {
+  recordLostLine(): void {
     this.#leftOut += 1;
   }
 
   /** Lines left out since the last call; 0 if there are none to tell now. */
-  takeLeftOut(now: MonotonicTime): number {
+  takeOmittedCount(now: MonotonicTime): number {
     if (this.#leftOut === 0 || now - this.#toldAt < MILLISECONDS_A_SECOND) {
       return 0;
     }
--- a/src/common/membership/digest_table.ts
+++ b/src/common/membership/digest_table.ts
@@ -5,7 +5,11 @@
  * never fresher. Parts that the requester has at the same version are not sent
  * again, only their age is (a conditional fetch).
  */
-import type { ISeenReport, ITargetReport, MonotonicTime } from "../types.ts";
+import type {
+  ITimestampedReport,
+  ITargetReport,
+  MonotonicTime,
+} from "../types.ts";
 import type { IDigestRow, IHeldRow, TargetIdentity } from "./digest_types.ts";
 
 /** Load values per target in a row. */
@@ -39,7 +43,7 @@
   }
 
   /** Replaces this daemon's own row by its recent polls. */
-  publish(seen: readonly ISeenReport[]): void {
+  publish(seen: readonly ITimestampedReport[]): void {
     const before = this.#ownRow;
     if (seen.length === 0) {
       this.#rows.delete(this.#self);
@@ -102,11 +106,14 @@
   merge(
     rows: readonly IDigestRow[],
     askedAt: MonotonicTime,
-  ): readonly ISeenReport[] {
+  ): readonly ITimestampedReport[] {
     return rows.flatMap((row) => this.#mergeRow(row, askedAt - row.age));
   }
 
-  #mergeRow(row: IDigestRow, seenAt: MonotonicTime): readonly ISeenReport[] {
+  #mergeRow(
+    row: IDigestRow,
+    seenAt: MonotonicTime,
+  ): readonly ITimestampedReport[] {
     const before = this.#rows.get(row.poller);
     const isOlder = before !== undefined && before.seenAt >= seenAt;
     if (row.poller === this.#self || isOlder) {
--- a/src/common/membership/digest_table_test.ts
+++ b/src/common/membership/digest_table_test.ts
@@ -1,11 +1,15 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import { TargetState } from "../types.ts";
-import type { ISeenReport } from "../types.ts";
+import type { ITimestampedReport } from "../types.ts";
 import { DigestTable } from "./digest_table.ts";
 
 /** A report that carries the true time of its poll in `tokens`. */
-function polled(instance: string, at: number, seenAt: number): ISeenReport {
+function polled(
+  instance: string,
+  at: number,
+  seenAt: number,
+): ITimestampedReport {
   const report = {
     instance,
     incarnation: "first",
--- a/src/common/membership/swim_membership_test.ts
+++ b/src/common/membership/swim_membership_test.ts
@@ -1,6 +1,6 @@
 import { expect } from "chai";
 import fc from "fast-check";
-import { MemberNetwork } from "../../../test/support/member_network.ts";
+import { SimulatedNetwork } from "../../../test/support/simulated_network.ts";
 import { SeededRandom } from "../../../test/support/seeded_random.ts";
 import { XxhashHash } from "../../adapters/hash/xxhash_hash.ts";
 import { MEMBERSHIP_TIMING } from "./timing.ts";
@@ -17,10 +17,19 @@
 function startZone(size: number, options: { seed: number; loss: number }) {
   const random = new SeededRandom(options.seed);
   const { loss } = options;
-  const network = new MemberNetwork({ random, hash, loss, delay: 10 });
+  const network = new SimulatedNetwork({
+    random,
+    hash,
+    lossRate: loss,
+    maximumDelay: 10,
+  });
   for (let index = 0; index < size; index++) {
     const contacts = network.nodes.slice(0, 2).map(({ member }) => member);
-    network.add(`daemon-${String(index).padStart(3, "0")}`, "zone", contacts);
+    network.addNode(
+      `daemon-${String(index).padStart(3, "0")}`,
+      "zone",
+      contacts,
+    );
   }
   const isConverged = () =>
     network.nodes.every(({ membership }) => membership.live.length >= size - 1);
@@ -82,9 +91,11 @@
       sideSizes,
       ({ size, seed }, sideSize) => {
         const { network, isConverged } = startZone(size, { seed, loss: 0.02 });
-        network.nodes.slice(0, sideSize).forEach((node) => (node.side = 1));
+        network.nodes
+          .slice(0, sideSize)
+          .forEach((node) => (node.partition = 1));
         network.run(15_000);
-        network.nodes.forEach((node) => (node.side = 0));
+        network.nodes.forEach((node) => (node.partition = 0));
         expect(network.run(VIEWS_EQUAL_WITHIN, isConverged)).to.equal(true);
       },
     );
@@ -145,16 +156,17 @@
 
   it("limits the updates in a message", () => {
     let largest = 0;
-    const network = new MemberNetwork({
+    const network = new SimulatedNetwork({
       random: new SeededRandom(10),
       hash,
-      loss: 0,
-      delay: 10,
-      onSent: (_, { news }) => (largest = Math.max(largest, news.length)),
+      lossRate: 0,
+      maximumDelay: 10,
+      onMessageSent: (_, { news }) =>
+        (largest = Math.max(largest, news.length)),
     });
-    const first = network.add("daemon-first", "zone", []);
+    const first = network.addNode("daemon-first", "zone", []);
     for (let index = 0; index < 80; index++) {
-      network.add(`daemon-${index}`, "zone", [first.member]);
+      network.addNode(`daemon-${index}`, "zone", [first.member]);
     }
     network.run(10 * MEMBERSHIP_TIMING.period);
     expect(largest).to.be.within(1, 9);
--- a/src/common/pause_watch.ts
+++ b/src/common/pause_detector.ts
@@ -6,7 +6,7 @@
 import type { MonotonicTime } from "./types.ts";
 
 /** Watches the time between the ticks of one process. */
-export class PauseWatch {
+export class PauseDetector {
   readonly #bound: number;
   #tickedAt: MonotonicTime | null = null;
   #since: MonotonicTime = Number.NEGATIVE_INFINITY;
--- a/src/common/pause_watch_test.ts
+++ b/src/common/pause_detector_test.ts
@@ -1,9 +1,9 @@
 import { expect } from "chai";
-import { PauseWatch } from "./pause_watch.ts";
+import { PauseDetector } from "./pause_detector.ts";
 
 describe("a process's own pauses", () => {
   it("are none while it ticks in time", () => {
-    const pauses = new PauseWatch(400);
+    const pauses = new PauseDetector(400);
     for (let now = 100; now <= 1_000; now += 100) {
       pauses.tick(now);
     }
@@ -12,7 +12,7 @@
 
   // Guards against a decision taken after a pause and before the next tick.
   it("are seen before the next tick, and after it", () => {
-    const pauses = new PauseWatch(400);
+    const pauses = new PauseDetector(400);
     pauses.tick(100);
     expect(pauses.runningSince(3_000)).to.equal(3_000);
     pauses.tick(3_010);
--- a/src/common/plans/plan_book.ts
+++ b/src/common/plans/effective_plans.ts
@@ -15,7 +15,7 @@
 } from "./types.ts";
 
 /** What came of offering a list to the book. */
-export enum Adoption {
+export enum OfferResult {
   Adopted = "adopted",
   /** Not newer than the one in force: a stale read, a late event, a peer. */
   NotNewer = "not_newer",
@@ -39,42 +39,42 @@
  * last good one; if the bad one counted as seen, the daemon would have no list
  * at all until the operator's next edit.
  */
-export class PlanBook {
+export class EffectivePlans {
   readonly #texts = new Map<PlanListName, IListText>();
   readonly #refused = new Map<PlanListName, IRefusedList>();
   #customers: readonly ICustomer[] = [];
   #plans = new Map<string, IPlan>();
   #accounts = new Map<string, IEffectiveAccount>();
-  #accountFindings: readonly IFinding[] = [];
+  #missingPlanFindings: readonly IFinding[] = [];
 
   /** Takes a list if it is newer than the one in force and passes its checks. */
-  offer(offered: IListText): Adoption {
+  offer(offered: IListText): OfferResult {
     const { list, version } = offered;
     const isNewer = version > (this.version(list) ?? 0);
     if (!isNewer || this.#refused.get(list)?.version === version) {
-      return Adoption.NotNewer;
+      return OfferResult.NotNewer;
     }
-    const findings = this.#takeContent(offered);
+    const findings = this.#replaceContent(offered);
     if (findings.length > 0) {
-      return this.refuse(list, { version, findings });
+      return this.recordRefusal(list, { version, findings });
     }
     this.#texts.set(list, offered);
     if ((this.#refused.get(list)?.version ?? 0) < version) {
       this.#refused.delete(list);
     }
     this.#resolveAccounts();
-    return Adoption.Adopted;
+    return OfferResult.Adopted;
   }
 
   /** Notes a list that cannot be put in force; only the newest is kept. */
-  refuse(list: PlanListName, refused: IRefusedList): Adoption {
+  recordRefusal(list: PlanListName, refused: IRefusedList): OfferResult {
     const known = this.#refused.get(list)?.version ?? 0;
     const least = Math.max(known, this.version(list) ?? 0);
     if (refused.version <= least) {
-      return Adoption.NotNewer;
+      return OfferResult.NotNewer;
     }
     this.#refused.set(list, refused);
-    return Adoption.Refused;
+    return OfferResult.Refused;
   }
 
   /** The version in force of a list, or null when there is none yet. */
@@ -88,7 +88,7 @@
   }
 
   /** The newest refused list that is newer than the one in force, or null. */
-  refused(list: PlanListName): IRefusedList | null {
+  newestRefused(list: PlanListName): IRefusedList | null {
     return this.#refused.get(list) ?? null;
   }
 
@@ -102,13 +102,13 @@
     const refused = [...this.#refused.values()];
     return [
       ...refused.flatMap((entry) => entry.findings),
-      ...this.#accountFindings,
+      ...this.#missingPlanFindings,
     ];
   }
 
   /** Customers in force that name a plan which is not. */
-  get accountFindings(): readonly IFinding[] {
-    return this.#accountFindings;
+  get missingPlanFindings(): readonly IFinding[] {
+    return this.#missingPlanFindings;
   }
 
   /** The client account a credential belongs to, by the credential's digest. */
@@ -121,7 +121,7 @@
     return [...this.#accounts.values()];
   }
 
-  #takeContent(offered: IListText): readonly IFinding[] {
+  #replaceContent(offered: IListText): readonly IFinding[] {
     if (offered.list === PlanListName.Customers) {
       const checked = checkCustomers(offered.list, offered.text);
       if (checked.isErr()) {
@@ -167,7 +167,7 @@
         entry,
       ]),
     );
-    this.#accountFindings = this.isComplete
+    this.#missingPlanFindings = this.isComplete
       ? findMissingPlans(
           PlanListName.Customers,
           this.#customers,
--- a/src/common/plans/plan_book_test.ts
+++ b/src/common/plans/effective_plans_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import { formatFinding } from "./findings.ts";
-import { Adoption, PlanBook } from "./plan_book.ts";
+import { OfferResult, EffectivePlans } from "./effective_plans.ts";
 import { PlanListName } from "./types.ts";
 
 const { Customers, Plans } = PlanListName;
@@ -42,7 +42,7 @@
     });
     const bad = fc.uniqueArray(fc.integer({ min: 1, max: 12 }));
     const property = fc.property(offers, bad, (versions, badVersions) => {
-      const book = new PlanBook();
+      const book = new EffectivePlans();
       for (const version of versions) {
         const before = book.version(Plans) ?? 0;
         const isBad = badVersions.includes(version);
@@ -50,7 +50,7 @@
         const adoption = book.offer({ list: Plans, version, text });
         expect(book.version(Plans) ?? 0).to.be.at.least(before);
         const isAdopted = !isBad && version > before;
-        expect(adoption === Adoption.Adopted).to.equal(isAdopted);
+        expect(adoption === OfferResult.Adopted).to.equal(isAdopted);
       }
       const good = versions.filter((version) => !badVersions.includes(version));
       const newest = Math.max(0, ...good);
@@ -64,17 +64,17 @@
   });
 
   it("takes the last good list after a newer bad one", () => {
-    const book = new PlanBook();
+    const book = new EffectivePlans();
     const bad = { list: Plans, version: 9, text: "plans: {" };
-    expect(book.offer(bad)).to.equal(Adoption.Refused);
-    expect(book.offer(bad)).to.equal(Adoption.NotNewer);
+    expect(book.offer(bad)).to.equal(OfferResult.Refused);
+    expect(book.offer(bad)).to.equal(OfferResult.NotNewer);
     const good = { list: Plans, version: 8, text: plansText("bench") };
-    expect(book.offer(good)).to.equal(Adoption.Adopted);
-    expect(book.refused(Plans)?.version).to.equal(9);
+    expect(book.offer(good)).to.equal(OfferResult.Adopted);
+    expect(book.newestRefused(Plans)?.version).to.equal(9);
   });
 
   it("keeps a customer's last good entry when its plan is gone", () => {
-    const book = new PlanBook();
+    const book = new EffectivePlans();
     const customers = { list: Customers, text: customersText("bench") };
     book.offer({ ...customers, version: 1 });
     book.offer({ list: Plans, version: 2, text: plansText("bench") });
@@ -92,7 +92,7 @@
   });
 
   it("gives a credential to the account that has it now", () => {
-    const book = new PlanBook();
+    const book = new EffectivePlans();
     book.offer({ list: Plans, version: 1, text: plansText("bench") });
     const first = customersText("bench");
     book.offer({ list: Customers, version: 2, text: first });
--- a/src/common/plans/findings.ts
+++ b/src/common/plans/findings.ts
@@ -11,13 +11,13 @@
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import type { z } from "zod";
-import type { IFinding, IPlace } from "./types.ts";
+import type { IFinding, ITextPosition } from "./types.ts";
 
 /** Aliases a document may expand; more is taken for an alias bomb. */
 const MAXIMUM_ALIASES = 20;
 
 /** The largest text that is read, in characters: the platform's bound. */
-export const MAXIMUM_TEXT = 1_000_000;
+export const MAXIMUM_TEXT_LENGTH = 1_000_000;
 
 /** Findings told of one document; a larger number is only counted. */
 const MAXIMUM_FINDINGS = 500;
@@ -30,12 +30,12 @@
 
 const TOO_DEEP = `is nested deeper than ${MAXIMUM_DEPTH} levels`;
 
-const START: IPlace = { line: 1, column: 1 };
+const START: ITextPosition = { line: 1, column: 1 };
 
 type Path = readonly PropertyKey[];
 
 /** Something wrong at a path that the schema cannot say, such as a repeat. */
-export interface IExtraIssue {
+export interface IContentIssue {
   readonly path: Path;
   readonly message: string;
   /** True where the key itself is wrong, not what stands under it. */
@@ -46,14 +46,14 @@
 export interface ICheckedDocument<T> {
   readonly content: T;
   /** Where the entry at a path stands in the text. */
-  placeOf(path: Path): IPlace;
+  placeOf(path: Path): ITextPosition;
 }
 
 /** How a document is checked. */
 export interface IDocumentChecks<T> {
   readonly schema: z.ZodType<T>;
   /** Looks at the content as parsed, also when the schema has findings. */
-  readonly extra?: (content: unknown) => readonly IExtraIssue[];
+  readonly findContentIssues?: (content: unknown) => readonly IContentIssue[];
 }
 
 /**
@@ -67,7 +67,7 @@
   text: string,
   checks: IDocumentChecks<T>,
 ): Result<ICheckedDocument<T>, readonly IFinding[]> {
-  return parseText(source, text).andThen((parsed) =>
+  return parseYaml(source, text).andThen((parsed) =>
     checkContent(parsed, checks),
   );
 }
@@ -85,12 +85,12 @@
  * aliases that expand to gigabytes would otherwise end the process, which
  * callers would notice as every daemon restarting at each read of the list.
  */
-export function parseText(
+export function parseYaml(
   source: string,
   text: string,
 ): Result<IParsedDocument, readonly IFinding[]> {
-  if (text.length > MAXIMUM_TEXT) {
-    return fail(source, `longer than ${MAXIMUM_TEXT} characters`);
+  if (text.length > MAXIMUM_TEXT_LENGTH) {
+    return fail(source, `longer than ${MAXIMUM_TEXT_LENGTH} characters`);
   }
   if (isNestedTooDeeply(text)) {
     return fail(source, TOO_DEEP);
@@ -148,7 +148,7 @@
   const { source, document, lines, content } = parsed;
   const checked = checks.schema.safeParse(content, { error: explain });
   const issues = checked.success ? [] : checked.error.issues.flatMap(unfold);
-  const extra = checks.extra?.(content) ?? [];
+  const extra = checks.findContentIssues?.(content) ?? [];
   const placeOf = (path: Path) => locate(document, lines, { path });
   if (checked.success && extra.length === 0) {
     return Ok({ content: checked.data, placeOf });
@@ -177,7 +177,7 @@
 }
 
 /** One issue a key for keys that no one knows, so that each has its place. */
-function unfold(issue: z.core.$ZodIssue): readonly IExtraIssue[] {
+function unfold(issue: z.core.$ZodIssue): readonly IContentIssue[] {
   if (issue.code !== "unrecognized_keys") {
     const { path, message } = issue;
     return [{ path, message }];
@@ -194,7 +194,7 @@
   document: Document,
   lines: LineCounter,
   subject: { readonly path: Path; readonly isKey?: boolean },
-): IPlace {
+): ITextPosition {
   const { path, isKey = false } = subject;
   for (let length = path.length; length > 0; length--) {
     const parent = document.getIn(path.slice(0, length - 1), true);
@@ -213,7 +213,7 @@
 }
 
 /** A position in the text as line and column, both from 1. */
-function place(lines: LineCounter, offset: number): IPlace {
+function place(lines: LineCounter, offset: number): ITextPosition {
   const { line, col } = lines.linePos(offset);
   return { line: Math.max(line, 1), column: Math.max(col, 1) };
 }
@@ -230,7 +230,7 @@
   if (rest <= 0) {
     return findings;
   }
-  const more = wholeFileFinding(source, `and ${rest} more findings`);
+  const more = documentFinding(source, `and ${rest} more findings`);
   return [...findings.slice(0, MAXIMUM_FINDINGS), more];
 }
 
@@ -238,11 +238,11 @@
   source: string,
   message: string,
 ): Result<never, readonly IFinding[]> {
-  return Err([wholeFileFinding(source, message)]);
+  return Err([documentFinding(source, message)]);
 }
 
 /** A finding about a file or object as a whole. */
-export function wholeFileFinding(source: string, message: string): IFinding {
+export function documentFinding(source: string, message: string): IFinding {
   return { source, ...START, path: "", message };
 }
 
--- a/src/common/plans/findings_test.ts
+++ b/src/common/plans/findings_test.ts
@@ -1,7 +1,7 @@
 import { expect, use } from "chai";
 import { jestSnapshotPlugin } from "mocha-chai-jest-snapshot";
 import { checkSettings } from "../../daemon/settings.ts";
-import { formatFinding, MAXIMUM_TEXT } from "./findings.ts";
+import { formatFinding, MAXIMUM_TEXT_LENGTH } from "./findings.ts";
 import { checkCustomers, checkPlans } from "./plan_list_schema.ts";
 import type { IFinding } from "./types.ts";
 
@@ -37,7 +37,7 @@
 `,
   "too deep in brackets": "[".repeat(900_000),
   "too deep in list marks": "- ".repeat(400_000),
-  "a megabyte": `customers: [] #${"x".repeat(MAXIMUM_TEXT)}`,
+  "a megabyte": `customers: [] #${"x".repeat(MAXIMUM_TEXT_LENGTH)}`,
 };
 
 const PLANS = `plans:
--- a/src/common/plans/list_edit.ts
+++ b/src/common/plans/list_edit.ts
@@ -11,7 +11,11 @@
 import type { Option, Result } from "ts-results-es";
 import { WriteFailureKind } from "../services/services.ts";
 import type { IPlatform, IPlatformObject } from "../services/services.ts";
-import { editsOf, platformVersionOf, restorationsOf } from "./list_object.ts";
+import {
+  editNamesOf,
+  platformVersionOf,
+  restorationsOf,
+} from "./list_object.ts";
 import type { IListValue } from "./list_object.ts";
 import { PLAN_LIST_KIND } from "./types.ts";
 import type { PlanListName } from "./types.ts";
@@ -95,7 +99,7 @@
   found: Option<IPlatformObject>,
 ): IEditResult | null {
   const current = found.isSome() ? found.value : null;
-  const edits = current === null ? [] : editsOf(current);
+  const edits = current === null ? [] : editNamesOf(current);
   if (edits.at(-1) === edit.name) {
     return { outcome: EditOutcome.Applied, detail: "", current };
   }
@@ -117,7 +121,7 @@
   found: Option<IPlatformObject>,
 ): Promise<Result<IEditResult, { kind: WriteFailureKind; detail: string }>> {
   const current = found.isSome() ? found.value : null;
-  const edits = current === null ? [] : editsOf(current);
+  const edits = current === null ? [] : editNamesOf(current);
   const value: IListValue = {
     text: edit.text,
     restorations: edit.restorations ?? restorationsOf(edit.editedFrom),
--- a/src/common/plans/list_object.ts
+++ b/src/common/plans/list_object.ts
@@ -13,7 +13,7 @@
 import type { Result } from "ts-results-es";
 import { z } from "zod";
 import type { IPlatformObject } from "../services/services.ts";
-import { wholeFileFinding } from "./findings.ts";
+import { documentFinding } from "./findings.ts";
 import { PLAN_LIST_KIND, PlanListName } from "./types.ts";
 import type { IFinding, IListText } from "./types.ts";
 
@@ -42,7 +42,7 @@
 });
 
 /** The list that an object's name stands for, or null. */
-export function listNamed(name: string): PlanListName | null {
+export function parsePlanListName(name: string): PlanListName | null {
   return Object.values(PlanListName).find((known) => known === name) ?? null;
 }
 
@@ -51,25 +51,25 @@
   object: IPlatformObject,
 ): Result<IListText, readonly IFinding[]> {
   const source = `${PLAN_LIST_KIND}/${object.name}`;
-  const list = listNamed(object.name);
+  const list = parsePlanListName(object.name);
   if (list === null) {
-    return Err([wholeFileFinding(source, "is not the name of a plan list")]);
+    return Err([documentFinding(source, "is not the name of a plan list")]);
   }
   const value = listValueSchema.safeParse(object.value);
   if (!value.success) {
     const findings = value.error.issues.map(({ path, message }) => ({
-      ...wholeFileFinding(source, message),
+      ...documentFinding(source, message),
       path: path.join("."),
     }));
     return Err(findings);
   }
   const { text, restorations = 0 } = value.data;
-  const version = joinVersion(restorations, object.version);
+  const version = combineVersions(restorations, object.version);
   return Ok({ list, version, text });
 }
 
 /** Names of the edits that a list object still tells of; none if unreadable. */
-export function editsOf(object: IPlatformObject): readonly string[] {
+export function editNamesOf(object: IPlatformObject): readonly string[] {
   const value = listValueSchema.safeParse(object.value);
   return value.success ? (value.data.edits ?? []) : [];
 }
@@ -85,6 +85,6 @@
 }
 
 /** A list's version from its two parts. */
-export function joinVersion(restorations: number, version: number): number {
+export function combineVersions(restorations: number, version: number): number {
   return restorations * RESTORATION_STEP + version;
 }
--- a/src/common/plans/plan_list_schema.ts
+++ b/src/common/plans/plan_list_schema.ts
@@ -3,7 +3,7 @@
 import { z } from "zod";
 import { durationSchema } from "./duration.ts";
 import { checkDocument } from "./findings.ts";
-import type { IExtraIssue } from "./findings.ts";
+import type { IContentIssue } from "./findings.ts";
 import type { ICustomer, IFinding, IPlan } from "./types.ts";
 
 const HIGHEST_PRIORITY = 9;
@@ -54,7 +54,7 @@
 ): Result<readonly ICustomer[], readonly IFinding[]> {
   const checked = checkDocument(source, text, {
     schema: customersSchema,
-    extra: (content) => [
+    findContentIssues: (content) => [
       ...repeats(content, "customers", "account"),
       ...repeats(content, "customers", "credential_sha256"),
     ],
@@ -76,7 +76,7 @@
 ): Result<readonly IPlan[], readonly IFinding[]> {
   const checked = checkDocument(source, text, {
     schema: plansSchema,
-    extra: (content) => repeats(content, "plans", "plan"),
+    findContentIssues: (content) => repeats(content, "plans", "plan"),
   });
   return checked.map(({ content }) =>
     content.plans.map((plan) => ({
@@ -116,13 +116,13 @@
   content: unknown,
   list: string,
   key: string,
-): readonly IExtraIssue[] {
+): readonly IContentIssue[] {
   const entries = (content as Record<string, unknown> | null)?.[list];
   if (!Array.isArray(entries)) {
     return [];
   }
   const seen = new Set<unknown>();
-  const issues: IExtraIssue[] = [];
+  const issues: IContentIssue[] = [];
   entries.forEach((entry: Record<string, unknown> | null, index) => {
     const value = entry?.[key];
     if (typeof value === "string" && seen.has(value)) {
--- a/src/common/plans/types.ts
+++ b/src/common/plans/types.ts
@@ -19,7 +19,7 @@
   /** SHA-256 of the account's credential, as lower-case hexadecimal. */
   readonly credentialDigest: string;
   /** Where the list names the account's plan. */
-  readonly planPlace: IPlace;
+  readonly planPlace: ITextPosition;
 }
 
 /** What a plan may use. */
@@ -36,13 +36,13 @@
 }
 
 /** A place in a text; both from 1. */
-export interface IPlace {
+export interface ITextPosition {
   readonly line: number;
   readonly column: number;
 }
 
 /** One thing wrong with a list or a settings file, and where. */
-export interface IFinding extends IPlace {
+export interface IFinding extends ITextPosition {
   /** The file or list. */
   readonly source: string;
   /** Dotted path of the entry, such as `customers[2].plan`. */
--- a/src/common/relay/store_relay_test.ts
+++ b/src/common/relay/store_relay_test.ts
@@ -2,9 +2,9 @@
 import fc from "fast-check";
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
-import { listedEngine } from "../../../test/support/engines.ts";
+import { listedEngine } from "../../../test/support/engine_fixtures.ts";
 import { ManualClock } from "../../../test/support/manual_clock.ts";
-import { KeptLog } from "../../../test/support/quiet_services.ts";
+import { RecordingLog } from "../../../test/support/recording_services.ts";
 import { SeededRandom } from "../../../test/support/seeded_random.ts";
 import { ObjectFollower } from "../calls/object_follower.ts";
 import { TargetRegistry } from "../calls/target_registry.ts";
@@ -150,7 +150,7 @@
   ) {
     const { clock, isHolder } = parts;
     this.link = new Link(store, clock);
-    const log = new KeptLog();
+    const log = new RecordingLog();
     const shared = { store: this.link, clock, log };
     const watchTime = () => (isHolder() ? 400 : 2_500);
     const configuration = new ObjectFollower(
--- a/src/common/relay/target_change_log_test.ts
+++ b/src/common/relay/target_change_log_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { listedEngine } from "../../../test/support/engines.ts";
+import { listedEngine } from "../../../test/support/engine_fixtures.ts";
 import type { IListedTarget } from "../calls/types.ts";
 import { TargetChangeLog } from "./target_change_log.ts";
 
--- a/src/common/replicas/engine_registry_test.ts
+++ b/src/common/replicas/engine_registry_test.ts
@@ -1,6 +1,9 @@
 import { expect } from "chai";
 import { EngineRegistry } from "./engine_registry.ts";
-import { engineState, listedEngine } from "../../../test/support/engines.ts";
+import {
+  engineState,
+  listedEngine,
+} from "../../../test/support/engine_fixtures.ts";
 
 const REPORT = {
   startedAt: 1,
--- a/src/common/replicas/exchange_client_test.ts
+++ b/src/common/replicas/exchange_client_test.ts
@@ -2,7 +2,7 @@
 import { Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { ManualClock } from "../../../test/support/manual_clock.ts";
-import { KeptLog } from "../../../test/support/quiet_services.ts";
+import { RecordingLog } from "../../../test/support/recording_services.ts";
 import type { IStoreUpdate } from "../relay/types.ts";
 import type { ICallFailure } from "../types.ts";
 import type {
@@ -51,7 +51,7 @@
   const client = new ExchangeClient({
     link: { exchange: () => Promise.resolve(answer) },
     clock,
-    log: new KeptLog(),
+    log: new RecordingLog(),
     holderAddress: () => "holder:1",
     report: processReport,
     onReply: () => undefined,
--- a/src/common/replicas/group_controller_test.ts
+++ b/src/common/replicas/group_controller_test.ts
@@ -10,7 +10,7 @@
   memberOf,
   SMALL,
   viewsOf,
-} from "../../../test/support/engines.ts";
+} from "../../../test/support/engine_fixtures.ts";
 import { OrderKind } from "./types.ts";
 
 const PLAN = {
--- a/src/common/replicas/plan_groups_test.ts
+++ b/src/common/replicas/plan_groups_test.ts
@@ -8,7 +8,7 @@
   engineView,
   LARGE,
   SMALL,
-} from "../../../test/support/engines.ts";
+} from "../../../test/support/engine_fixtures.ts";
 
 /**
  * An engine that holds models: `loaded` by its last group, `staged` on its
--- a/src/common/replicas/slow_engines_test.ts
+++ b/src/common/replicas/slow_engines_test.ts
@@ -4,7 +4,7 @@
   engineView,
   LARGE,
   SMALL,
-} from "../../../test/support/engines.ts";
+} from "../../../test/support/engine_fixtures.ts";
 import type { IEngineView } from "./engine_registry.ts";
 import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
 import { findGroupsToReplace, findSlowEngines } from "./slow_engines.ts";
--- a/src/common/reports/burn_counter.ts
+++ b/src/common/reports/burn_counter.ts
@@ -2,7 +2,7 @@
 import { build, encodeIntoCompressedBase64 } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import { BURN_WINDOWS, SERIES_STEP } from "./burn_types.ts";
-import type { IBurnCount, IBurnPoint, IMeasured } from "./burn_types.ts";
+import type { IBurnCount, IBurnPoint, IMeasureCounts } from "./burn_types.ts";
 
 /** A day of minutes, the longest window. */
 const SLOTS = 1_440;
@@ -63,7 +63,7 @@
   }
 
   /** Everything counted up to now, for merging. */
-  read(now: number): IMeasured {
+  read(now: number): IMeasureCounts {
     const minute = Math.floor(now / MILLISECONDS_PER_MINUTE);
     this.#turnHour(minute);
     const merged = buildHistogram();
--- a/src/common/reports/burn_page.ts
+++ b/src/common/reports/burn_page.ts
@@ -8,7 +8,7 @@
   formatLatency,
   formatObjective,
   formatSources,
-  titleOf,
+  formatRowTitle,
 } from "./burn_text.ts";
 
 const WIDTH = 560;
@@ -83,7 +83,7 @@
     })
     .join("");
   return `<div class="card">
-<h2>${escapeText(titleOf(row))}</h2>
+<h2>${escapeText(formatRowTitle(row))}</h2>
 <table>
 <tr><th>objective</th>${names}<th>p50/p95/p99 ms</th></tr>
 <tr><td>${formatObjective(row.objective)}</td>${burns}
--- a/src/common/reports/burn_recorder.ts
+++ b/src/common/reports/burn_recorder.ts
@@ -5,8 +5,8 @@
 import { BurnCounter } from "./burn_counter.ts";
 import { BurnMeasure } from "./burn_types.ts";
 import type { IDaemonBurn, Objectives } from "./burn_types.ts";
-import { ServedRequest } from "./served_request.ts";
-import type { IServed } from "./served_request.ts";
+import { RequestObserver } from "./request_observer.ts";
+import type { IRequestResult } from "./request_observer.ts";
 
 /**
  * Refusals that are the caller's own doing or its plan's limit: the promise is
@@ -17,8 +17,8 @@
   Reason.NotInPlan,
   Reason.NoSuchOperation,
   Reason.BadRequest,
-  Reason.KeyRequired,
-  Reason.KeyReused,
+  Reason.IdempotencyKeyRequired,
+  Reason.IdempotencyKeyReused,
   Reason.InProgress,
   Reason.OverLimit,
   Reason.CallerLeft,
@@ -40,8 +40,8 @@
   }
 
   /** Follows one request from its arrival to its final answer. */
-  begin(request: ICallerRequest): ServedRequest {
-    return new ServedRequest(request, this.#clock, (served) =>
+  observeRequest(request: ICallerRequest): RequestObserver {
+    return new RequestObserver(request, this.#clock, (served) =>
       this.#record(request, served),
     );
   }
@@ -62,7 +62,7 @@
     return { daemon, zone, since: this.#since, objectives, parts };
   }
 
-  #record(request: ICallerRequest, served: IServed): void {
+  #record(request: ICallerRequest, served: IRequestResult): void {
     if (served.reason !== null && NOT_COUNTED.has(served.reason)) {
       return;
     }
--- a/src/common/reports/burn_report.ts
+++ b/src/common/reports/burn_report.ts
@@ -7,7 +7,7 @@
   IBurnCount,
   IBurnPoint,
   IDaemonBurn,
-  IMeasured,
+  IMeasureCounts,
   IObjective,
   Objectives,
 } from "./burn_types.ts";
@@ -60,7 +60,7 @@
 }
 
 /** @param now - calendar time, milliseconds since 1970 */
-export function mergeBurn(
+export function buildBurnReport(
   daemons: readonly IDaemonBurn[],
   silent: readonly string[],
   now: number,
@@ -110,7 +110,7 @@
 }
 
 function mergeMeasured(
-  measured: readonly IMeasured[],
+  measured: readonly IMeasureCounts[],
   objective: IObjective,
 ): Pick<IBurnRow, "windows" | "series" | "latency"> {
   const windows = BURN_WINDOWS.map(({ name }, index) => {
@@ -138,7 +138,7 @@
   return total === 0 ? null : bad / total / (1 - objective.share);
 }
 
-function mergeLatency(measured: readonly IMeasured[]): ILatency | null {
+function mergeLatency(measured: readonly IMeasureCounts[]): ILatency | null {
   const merged = buildHistogram();
   for (const { histogram } of measured) {
     merged.add(decodeFromCompressedBase64(histogram) as Histogram);
--- a/src/common/reports/burn_text.ts
+++ b/src/common/reports/burn_text.ts
@@ -40,7 +40,7 @@
 }
 
 /** The row's title, for text and plots. */
-export function titleOf(row: IBurnRow): string {
+export function formatRowTitle(row: IBurnRow): string {
   return `${row.service} / ${row.account}: ${MEASURE_NAMES[row.measure]}`;
 }
 
--- a/src/common/reports/burn_types.ts
+++ b/src/common/reports/burn_types.ts
@@ -49,14 +49,14 @@
 }
 
 /** What one daemon counted of one service and client account. */
-export interface IBurnPart {
+export interface IAccountBurn {
   readonly service: ServiceName;
   readonly account: AccountName;
-  readonly measures: Readonly<Record<BurnMeasure, IMeasured>>;
+  readonly measures: Readonly<Record<BurnMeasure, IMeasureCounts>>;
 }
 
 /** One measure of a part. */
-export interface IMeasured {
+export interface IMeasureCounts {
   /** In the order of {@link BURN_WINDOWS}. */
   readonly windows: readonly IBurnCount[];
   readonly series: readonly IBurnPoint[];
@@ -71,5 +71,5 @@
   /** When it began to count; calendar time, milliseconds since 1970. */
   readonly since: number;
   readonly objectives: Objectives;
-  readonly parts: readonly IBurnPart[];
+  readonly parts: readonly IAccountBurn[];
 }
--- a/src/common/reports/late_calls.ts
+++ b/src/common/reports/late_calls.ts
@@ -3,7 +3,7 @@
  * each model's calls were late or not served, by cause, with examples to look
  * up. Platform-free: lines go in as fields, text comes out.
  */
-import type { ILogLine } from "./request_story.ts";
+import type { ILogLine } from "./request_timeline.ts";
 import { formatTable } from "./text_table.ts";
 
 /** Why a call was not answered on time. */
@@ -13,9 +13,9 @@
   /** It was sent at once, and its first event was late all the same. */
   SlowFirstEvent = "slow_first_event",
   /** Its group was given up before the first event. */
-  MovedBefore = "moved_before_first_event",
+  MovedBeforeFirstEvent = "moved_before_first_event",
   /** Its group was given up within the answer, which paused for too long. */
-  MovedWithin = "moved_within_answer",
+  MovedWithinAnswer = "moved_within_answer",
   /** The answer paused for too long though it came from one group. */
   Paused = "paused",
   /** The caller left before the end. */
@@ -55,7 +55,9 @@
 }
 
 /** The rows of all models, the largest first. */
-export function lateCalls(lines: readonly ILogLine[]): readonly ILateRow[] {
+export function summarizeLateCalls(
+  lines: readonly ILogLine[],
+): readonly ILateRow[] {
   const calls = lines.filter(({ fields }) => fields["event"] === "model_call");
   const start = Math.min(...lines.map(({ at }) => at));
   const totals = new Map<string, number>();
@@ -114,7 +116,7 @@
   const objective = numberOf(fields, "objective_ms");
   if (objective > 0 && numberOf(fields, "first_event_ms") > objective) {
     if (wasMoved) {
-      return LateCause.MovedBefore;
+      return LateCause.MovedBeforeFirstEvent;
     }
     return numberOf(fields, "waited_ms") > NOTICEABLE_WAIT
       ? LateCause.Waited
@@ -125,7 +127,7 @@
   if (!hasPaused) {
     return null;
   }
-  return wasMoved ? LateCause.MovedWithin : LateCause.Paused;
+  return wasMoved ? LateCause.MovedWithinAnswer : LateCause.Paused;
 }
 
 function rowOf(
--- a/src/common/reports/late_calls_test.ts
+++ b/src/common/reports/late_calls_test.ts
@@ -1,7 +1,11 @@
 import { expect, use } from "chai";
 import { jestSnapshotPlugin } from "mocha-chai-jest-snapshot";
-import { formatLateCalls, LateCause, lateCalls } from "./late_calls.ts";
-import type { ILogLine } from "./request_story.ts";
+import {
+  formatLateCalls,
+  LateCause,
+  summarizeLateCalls,
+} from "./late_calls.ts";
+import type { ILogLine } from "./request_timeline.ts";
 
 use(jestSnapshotPlugin());
 
@@ -43,11 +47,11 @@
   // Operators see that a tenth of a model's calls was late. Whether to add
   // instances or to look for a broken link depends on why.
   it("tells why, how many and when", () => {
-    expect(formatLateCalls(lateCalls(LINES))).toMatchSnapshot();
+    expect(formatLateCalls(summarizeLateCalls(LINES))).toMatchSnapshot();
   });
 
   it("counts each late call once, and none that was on time", () => {
-    const rows = lateCalls(LINES);
+    const rows = summarizeLateCalls(LINES);
     const late = rows.reduce((sum, { calls }) => sum + calls, 0);
     expect(late).to.equal(8);
     expect(rows[0]).to.include({ cause: LateCause.Waited, calls: 2 });
@@ -57,10 +61,10 @@
 
   it("does not call late what names no objective", () => {
     const late = { objective_ms: "", first_event_ms: "900" };
-    expect(lateCalls([line(1_000, "a", late)])).to.deep.equal([]);
+    expect(summarizeLateCalls([line(1_000, "a", late)])).to.deep.equal([]);
   });
 
   it("is empty without any call", () => {
-    expect(lateCalls([])).to.deep.equal([]);
+    expect(summarizeLateCalls([])).to.deep.equal([]);
   });
 });
--- a/src/common/reports/reports_test.ts
+++ b/src/common/reports/reports_test.ts
@@ -6,7 +6,7 @@
 import { PlanListName } from "../plans/types.ts";
 import { BurnCounter } from "./burn_counter.ts";
 import { formatBurnPage } from "./burn_page.ts";
-import { mergeBurn } from "./burn_report.ts";
+import { buildBurnReport } from "./burn_report.ts";
 import { formatBurn } from "./burn_text.ts";
 import { BurnMeasure } from "./burn_types.ts";
 import type { IDaemonBurn } from "./burn_types.ts";
@@ -78,13 +78,13 @@
   const daemons = [burnOf("entry-a1/1", 600), burnOf("entry-a2/1", 60)];
 
   it("tells burn as text", () => {
-    const report = mergeBurn(daemons, ["entry-b1/1"], NOW);
+    const report = buildBurnReport(daemons, ["entry-b1/1"], NOW);
     expect(formatBurn(report)).toMatchSnapshot();
-    expect(formatBurn(mergeBurn([], [], NOW))).toMatchSnapshot();
+    expect(formatBurn(buildBurnReport([], [], NOW))).toMatchSnapshot();
   });
 
   it("draws burn as a page that needs nothing else", () => {
-    const page = formatBurnPage(mergeBurn(daemons, [], NOW));
+    const page = formatBurnPage(buildBurnReport(daemons, [], NOW));
     expect(page).to.match(/<path class="burn" d="M[\d.,L]+"/);
     expect(page).to.not.match(/NaN|undefined|<script|https?:/);
   });
--- a/src/common/reports/served_request.ts
+++ b/src/common/reports/request_observer.ts
@@ -18,7 +18,7 @@
 }
 
 /** What a caller got, and when. */
-export interface IServed {
+export interface IRequestResult {
   readonly outcome: Outcome;
   /** Why there was no whole answer; null when there was. */
   readonly reason: Reason | null;
@@ -30,11 +30,11 @@
 
 type TokenBatch = Result<readonly IEngineToken[], IRefusal>;
 
-/** Follows one request; {@link end} reports what became of it. */
-export class ServedRequest {
+/** Follows one request; {@link finish} reports what became of it. */
+export class RequestObserver {
   readonly #request: ICallerRequest;
   readonly #clock: IClock;
-  readonly #report: (served: IServed) => void;
+  readonly #report: (served: IRequestResult) => void;
   readonly #gaps: ITokenGap[] = [];
   #reason: Reason | null = null;
   #firstToken: number | null = null;
@@ -42,7 +42,7 @@
   constructor(
     request: ICallerRequest,
     clock: IClock,
-    report: (served: IServed) => void,
+    report: (served: IRequestResult) => void,
   ) {
     this.#request = request;
     this.#clock = clock;
@@ -50,7 +50,7 @@
   }
 
   /** The same answer, timed as the caller takes it. */
-  watch(
+  observeAnswer(
     answer: Result<CallerAnswer, IRefusal>,
   ): Result<CallerAnswer, IRefusal> {
     if (answer.isErr()) {
@@ -71,7 +71,7 @@
   }
 
   /** @param outcome - as written to the caller */
-  end(outcome: Outcome): void {
+  finish(outcome: Outcome): void {
     this.#report({
       outcome,
       reason: this.#reason,
--- a/src/common/reports/request_story_test.ts
+++ b/src/common/reports/request_story_test.ts
@@ -1,7 +1,7 @@
 import { expect, use } from "chai";
 import { jestSnapshotPlugin } from "mocha-chai-jest-snapshot";
-import { readLogLines } from "../../adapters/log/log_lines.ts";
-import { formatStory, requestStory } from "./request_story.ts";
+import { parseLogLines } from "../../adapters/log/log_lines.ts";
+import { formatTimeline, buildTimeline } from "./request_timeline.ts";
 
 use(jestSnapshotPlugin());
 
@@ -19,16 +19,16 @@
 
 describe("the story of a request", () => {
   it("tells in order what decided it, and how its groups fared", () => {
-    const { lines, skipped } = readLogLines(LOG);
+    const { lines, skipped } = parseLogLines(LOG);
     expect(skipped).to.equal(1);
-    const text = formatStory(requestStory(lines, "ab12"));
+    const text = formatTimeline(buildTimeline(lines, "ab12"));
     expect(text).toMatchSnapshot();
     expect(text).to.not.include("cd34");
     expect(text.trim().split("\n")).to.have.length(5);
   });
 
   it("is empty for a request that no line names", () => {
-    const { lines } = readLogLines(LOG);
-    expect(requestStory(lines, "ef56")).to.deep.equal([]);
+    const { lines } = parseLogLines(LOG);
+    expect(buildTimeline(lines, "ef56")).to.deep.equal([]);
   });
 });
--- a/src/common/reports/request_story.ts
+++ b/src/common/reports/request_timeline.ts
@@ -12,7 +12,7 @@
 }
 
 /** One thing that happened, with what decided it. */
-export interface IStoryStep {
+export interface ITimelineStep {
   /** Calendar time as logged, ISO 8601. */
   readonly time: string;
   /** Milliseconds since the request's first line; negative before it. */
@@ -41,10 +41,10 @@
 ];
 
 /** The steps in order of time; empty if no line names the request. */
-export function requestStory(
+export function buildTimeline(
   lines: readonly ILogLine[],
   request: string,
-): readonly IStoryStep[] {
+): readonly ITimelineStep[] {
   const own = lines.filter(({ fields }) => fields["request"] === request);
   const times = own.map(({ at }) => at).sort((one, other) => one - other);
   const [first] = times;
@@ -65,7 +65,7 @@
 }
 
 /** A line a step, for people. */
-export function formatStory(steps: readonly IStoryStep[]): string {
+export function formatTimeline(steps: readonly ITimelineStep[]): string {
   return steps
     .map(({ after, process, event, isOwn, fields }) => {
       const at = `${after >= 0 ? "+" : ""}${after} ms`.padStart(9);
@@ -82,7 +82,7 @@
 function stepOf(
   line: ILogLine,
   { first, isOwn }: { readonly first: number; readonly isOwn: boolean },
-): IStoryStep {
+): ITimelineStep {
   const { at, fields } = line;
   const rest = Object.entries(fields).filter(
     ([name]) => !COMMON_FIELDS.includes(name),
--- a/src/common/runs/run_record.ts
+++ b/src/common/runs/run_record.ts
@@ -73,15 +73,18 @@
 }
 
 /** A new record for a first try. */
-export function openRecord(run: IRunKey, details: IRunDetails): RunRecord {
+export function createOpenRecord(
+  run: IRunKey,
+  details: IRunDetails,
+): RunRecord {
   const state = RunState.Open;
   return { ...run, ...details, state, answer: null, omitted: null };
 }
 
 /** What a found record means for the caller that found it. */
-export enum Finding {
+export enum ExistingRecordStatus {
   /** This very try created it: its answer was lost on the way. */
-  Mine = "mine",
+  OwnAttempt = "mine",
   /** The same key was used with another body. */
   BodyDiffers = "body_differs",
   Recorded = "recorded",
@@ -97,26 +100,28 @@
  * @param mine - the record this try wants to stand there
  * @param now - calendar time, milliseconds since 1970
  */
-export function judgeFound(
+export function classifyExistingRecord(
   record: RunRecord,
   mine: RunRecord,
   now: number,
-): Finding {
+): ExistingRecordStatus {
   if (record.bodyDigest !== mine.bodyDigest) {
-    return Finding.BodyDiffers;
+    return ExistingRecordStatus.BodyDiffers;
   }
   switch (record.state) {
     case RunState.Completed:
-      return Finding.Recorded;
+      return ExistingRecordStatus.Recorded;
     case RunState.NotRun:
-      return Finding.MayTakeOver;
+      return ExistingRecordStatus.MayTakeOver;
     case RunState.Unknown:
-      return Finding.Unknown;
+      return ExistingRecordStatus.Unknown;
     case RunState.Open:
       if (record.attempt === mine.attempt) {
-        return Finding.Mine;
+        return ExistingRecordStatus.OwnAttempt;
       }
-      return now <= record.openUntil ? Finding.InProgress : Finding.Unknown;
+      return now <= record.openUntil
+        ? ExistingRecordStatus.InProgress
+        : ExistingRecordStatus.Unknown;
   }
 }
 
@@ -133,7 +138,7 @@
  * Writing over the version that the delayed write expects keeps it from ever
  * taking effect; null when nothing of this try stands or can land any more.
  */
-export function withdrawalOf(
+export function withdrawalFor(
   mine: RunRecord,
   found: { readonly record: RunRecord; readonly version: number } | null,
 ): IWithdrawal | null {
--- a/src/common/runs/run_location.ts
+++ b/src/common/runs/run_record_location.ts
@@ -9,22 +9,25 @@
  * Kinds that records are spread over. At the target size (see
  * docs/CAPACITY.md) about 4,400 records stand in each, a list of 2 MB.
  */
-export const RUN_BUCKETS = 1_024;
+export const RUN_BUCKET_COUNT = 1_024;
 
 const HASH_START = 2_166_136_261;
 const HASH_FACTOR = 16_777_619;
 
 /** The kind of the platform's objects in one bucket. */
-export function kindOfBucket(bucket: number): string {
+export function bucketKind(bucket: number): string {
   return `runs.${bucket}`;
 }
 
 /** Kind and name of a record; parts are encoded so they cannot run together. */
-export function locationOf(run: IRunKey): { kind: string; name: string } {
+export function runRecordLocation(run: IRunKey): {
+  kind: string;
+  name: string;
+} {
   const name = [run.account, run.operation, run.key]
     .map((part) => encodeURIComponent(part))
     .join(":");
-  return { kind: kindOfBucket(hashOf(name) % RUN_BUCKETS), name };
+  return { kind: bucketKind(hashOf(name) % RUN_BUCKET_COUNT), name };
 }
 
 /** FNV-1a over the characters; only spreads, protects nothing. */
--- a/src/common/services/admission_service.ts
+++ b/src/common/services/admission_service.ts
@@ -115,7 +115,11 @@
     const { name } = request.service;
     if (!groups.refresh(name)) {
       const detail = `nothing in this zone can serve ${name} now`;
-      const refusal = notRun(Reason.NoReplica, detail, NO_REPLICA_RETRY_AFTER);
+      const refusal = notRun(
+        Reason.NoReplicaAvailable,
+        detail,
+        NO_REPLICA_RETRY_AFTER,
+      );
       return Promise.resolve(refusal);
     }
     return new Promise((resolve) => {
--- a/src/common/services/at_most_once_runner.ts
+++ b/src/common/services/at_most_once_runner.ts
@@ -59,7 +59,7 @@
   async run(request: ICallerRequest): Promise<RunResult> {
     if (request.key === null) {
       const detail = "this operation needs an Idempotency-Key header";
-      return Err(notRun(Reason.KeyRequired, detail));
+      return Err(notRun(Reason.IdempotencyKeyRequired, detail));
     }
     if (this.#chooseTarget(request, new Set()) === null) {
       return Err(noTarget(request));
@@ -186,5 +186,5 @@
 /** Creates the refusal for a service without a usable target. */
 export function noTarget(request: ICallerRequest): IRefusal {
   const detail = `no target of ${request.service.name} in this zone`;
-  return notRun(Reason.NoReplica, detail, NO_TARGET_RETRY_AFTER);
+  return notRun(Reason.NoReplicaAvailable, detail, NO_TARGET_RETRY_AFTER);
 }
--- a/src/common/services/daemon_list.ts
+++ b/src/common/services/daemon_list.ts
@@ -98,7 +98,7 @@
     if (isRead) {
       this.#retry.reset();
     }
-    const pause = isRead ? this.#pause() : this.#retry.next();
+    const pause = isRead ? this.#pause() : this.#retry.nextDelay();
     this.#owned.add(
       this.#clock.after(pause, () => void this.#readRepeatedly()),
     );
--- a/src/common/services/daemon_status.ts
+++ b/src/common/services/daemon_status.ts
@@ -2,7 +2,7 @@
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { z } from "zod";
-import { wholeFileFinding } from "../plans/findings.ts";
+import { documentFinding } from "../plans/findings.ts";
 import type { IFinding } from "../plans/types.ts";
 import type { IReplicaGroup } from "../groups/types.ts";
 import type { IZoneSummary } from "../membership/zone_directory.ts";
@@ -91,7 +91,7 @@
   const source = `${object.kind}/${object.name}`;
   return Err(
     entry.error.issues.map(({ path, message }) => ({
-      ...wholeFileFinding(source, message),
+      ...documentFinding(source, message),
       path: path.join("."),
     })),
   );
--- a/src/common/services/engine_runner.ts
+++ b/src/common/services/engine_runner.ts
@@ -233,7 +233,7 @@
     }
     if (!mayHaveRun) {
       const detail = `no complete replica group of ${name} took the request`;
-      return notRun(Reason.NoReplica, detail, NO_REPLICA_RETRY_AFTER);
+      return notRun(Reason.NoReplicaAvailable, detail, NO_REPLICA_RETRY_AFTER);
     }
     const detail = `the replica groups of ${name} broke off`;
     return outcomeUnknown(Reason.TargetLost, detail, NO_REPLICA_RETRY_AFTER);
--- a/src/common/services/forward_service.ts
+++ b/src/common/services/forward_service.ts
@@ -1,6 +1,6 @@
 /** Runs requests forwarded by daemons of other zones. */
 import { Err } from "ts-results-es";
-import type { PlanBook } from "../plans/plan_book.ts";
+import type { EffectivePlans } from "../plans/effective_plans.ts";
 import { Reason } from "../types.ts";
 import type { IServiceDefinition, ServiceName } from "../types.ts";
 import type { AdmissionService } from "./admission_service.ts";
@@ -21,7 +21,7 @@
 export class ForwardService {
   readonly #admission: AdmissionService;
   readonly #engines: EngineRunner;
-  readonly #plans: PlanBook;
+  readonly #plans: EffectivePlans;
   readonly #services: ReadonlyMap<ServiceName, IServiceDefinition>;
   readonly #clock: IClock;
   #inFlight = 0;
@@ -31,7 +31,7 @@
   constructor(parts: {
     readonly admission: AdmissionService;
     readonly engines: EngineRunner;
-    readonly book: PlanBook;
+    readonly book: EffectivePlans;
     readonly services: ReadonlyMap<ServiceName, IServiceDefinition>;
     readonly clock: IClock;
   }) {
--- a/src/common/services/group_directory.ts
+++ b/src/common/services/group_directory.ts
@@ -10,7 +10,7 @@
 import type { IPresenceView } from "../groups/presence.ts";
 import type { IReplicaGroup } from "../groups/types.ts";
 import { InstanceState, ServiceKind, TargetState } from "../types.ts";
-import type { IInstance, ISeenReport, ServiceName } from "../types.ts";
+import type { IInstance, ITimestampedReport, ServiceName } from "../types.ts";
 import type { DomainController } from "./domain_controller.ts";
 import type { IClock, ILiveDaemons, IRandom } from "./services.ts";
 import type { TargetDirectory } from "./target_directory.ts";
@@ -186,7 +186,7 @@
     return servable;
   }
 
-  #isReady(instance: IInstance, seen: ISeenReport | undefined): boolean {
+  #isReady(instance: IInstance, seen: ITimestampedReport | undefined): boolean {
     return (
       seen !== undefined &&
       instance.state === InstanceState.Live &&
--- a/src/common/services/plan_list_follower.ts
+++ b/src/common/services/plan_list_follower.ts
@@ -140,7 +140,7 @@
   async #handleFailure(detail: string): Promise<void> {
     if (!this.#stopping.signal.aborted) {
       this.#events.failed(detail);
-      await this.#pause(this.#backoff.next());
+      await this.#pause(this.#backoff.nextDelay());
     }
   }
 
--- a/src/common/services/plan_list_service.ts
+++ b/src/common/services/plan_list_service.ts
@@ -3,8 +3,8 @@
 import { DisposableStore } from "../disposable.ts";
 import { Emitter } from "../emitter.ts";
 import { formatFinding } from "../plans/findings.ts";
-import { listNamed, parseListObject } from "../plans/list_object.ts";
-import { Adoption, PlanBook } from "../plans/plan_book.ts";
+import { parsePlanListName, parseListObject } from "../plans/list_object.ts";
+import { OfferResult, EffectivePlans } from "../plans/effective_plans.ts";
 import { PlanListName } from "../plans/types.ts";
 import type { IFinding, IListText } from "../plans/types.ts";
 import type { MonotonicTime } from "../types.ts";
@@ -40,10 +40,10 @@
   isWatcher(): boolean;
 }
 
-/** Keeps a {@link PlanBook} up to date. */
+/** Keeps a {@link EffectivePlans} up to date. */
 export class PlanListService implements IDisposable {
   readonly #ports: IPlanListPorts;
-  readonly #plans = new PlanBook();
+  readonly #plans = new EffectivePlans();
   readonly #owned = new DisposableStore();
   readonly #adopted = this.#owned.add(new Emitter<IListText>());
   readonly #unknownObjects = new Map<string, readonly IFinding[]>();
@@ -58,7 +58,7 @@
     this.#ports = ports;
   }
 
-  get plans(): PlanBook {
+  get plans(): EffectivePlans {
     return this.#plans;
   }
 
@@ -122,10 +122,10 @@
   }
 
   /** Accepts a list from any source; older versions are ignored. */
-  offer(text: IListText): Adoption {
+  offer(text: IListText): OfferResult {
     const { list, version } = text;
     const adoption = this.#plans.offer(text);
-    if (adoption === Adoption.Adopted) {
+    if (adoption === OfferResult.Adopted) {
       this.#ports.log.info("plan_list_adopted", { list, version });
       this.#updateUnknownAlarm();
       this.#updateAccountsAlarm();
@@ -151,14 +151,14 @@
       this.offer(text.value);
       return;
     }
-    const list = listNamed(object.name);
+    const list = parsePlanListName(object.name);
     const { version } = object;
     if (list === null) {
       this.#unknownObjects.set(object.name, text.error);
       return;
     }
     const refused = { version, findings: text.error };
-    this.#reportRefusal(list, this.#plans.refuse(list, refused));
+    this.#reportRefusal(list, this.#plans.recordRefusal(list, refused));
   }
 
   #handleConfirmed(): void {
@@ -208,22 +208,22 @@
   }
 
   #updateAccountsAlarm(): void {
-    const [first, ...rest] = this.#plans.accountFindings;
+    const [first, ...rest] = this.#plans.missingPlanFindings;
     const more = rest.length === 0 ? "" : ` and ${rest.length} more`;
     const detail = first ? `${formatFinding(first)}${more}` : null;
     this.#ports.alarms.set(AlarmName.CustomerWithoutPlan, detail);
   }
 
-  #reportRefusal(list: PlanListName, adoption: Adoption): void {
+  #reportRefusal(list: PlanListName, adoption: OfferResult): void {
     const { alarms, log, metrics } = this.#ports;
     const refused = Object.values(PlanListName).flatMap((name) => {
-      const entry = this.#plans.refused(name);
+      const entry = this.#plans.newestRefused(name);
       return entry ? [`${name}=${entry.version}`] : [];
     });
     const detail = refused.length === 0 ? null : refused.join(" ");
     alarms.set(AlarmName.PlanListRefused, detail);
-    const newest = this.#plans.refused(list);
-    if (adoption !== Adoption.Refused || newest === null) {
+    const newest = this.#plans.newestRefused(list);
+    if (adoption !== OfferResult.Refused || newest === null) {
       return;
     }
     metrics.count("plan_lists_refused", { list });
--- a/src/common/services/run_record_retry_queue.ts
+++ b/src/common/services/run_record_retry_queue.ts
@@ -5,8 +5,8 @@
  * be told "unknown" although this daemon knows the outcome.
  */
 import type { Result } from "ts-results-es";
-import { locationOf } from "../runs/run_location.ts";
-import { parseRunRecord, withdrawalOf } from "../runs/run_record.ts";
+import { runRecordLocation } from "../runs/run_record_location.ts";
+import { parseRunRecord, withdrawalFor } from "../runs/run_record.ts";
 import type { RunRecord } from "../runs/run_record.ts";
 import type { MonotonicTime } from "../types.ts";
 import { WriteFailureKind } from "./services.ts";
@@ -135,7 +135,7 @@
   }
 
   async #withdraw(mine: RunRecord): Promise<boolean> {
-    const { kind, name } = locationOf(mine);
+    const { kind, name } = runRecordLocation(mine);
     const read = await this.#platform.read(kind, name);
     if (read.isErr()) {
       return false;
@@ -146,7 +146,7 @@
       return true;
     }
     const found = object && record ? { record, version: object.version } : null;
-    const withdrawal = withdrawalOf(mine, found);
+    const withdrawal = withdrawalFor(mine, found);
     if (withdrawal === null) {
       return true;
     }
@@ -159,7 +159,7 @@
     record: RunRecord,
     expectedVersion: number | null,
   ): Promise<Result<number, IWriteFailure>> {
-    const location = locationOf(record);
+    const location = runRecordLocation(record);
     return this.#platform.write({
       ...location,
       value: record,
--- a/src/common/services/run_record_service.ts
+++ b/src/common/services/run_record_service.ts
@@ -1,11 +1,11 @@
 /** Keeps run records on the platform, so that a call runs at most once. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
-import { locationOf } from "../runs/run_location.ts";
+import { runRecordLocation } from "../runs/run_record_location.ts";
 import {
-  Finding,
-  judgeFound,
-  openRecord,
+  ExistingRecordStatus,
+  classifyExistingRecord,
+  createOpenRecord,
   parseRunRecord,
 } from "../runs/run_record.ts";
 import type {
@@ -166,7 +166,7 @@
     const { clock, random } = this.#ports;
     const { bodyDigest, requestId, openFor } = request;
     const createdAt = clock.calendar();
-    return openRecord(run, {
+    return createOpenRecord(run, {
       bodyDigest,
       requestId,
       attempt: random.identifier(),
@@ -195,8 +195,12 @@
       return { kind: "start", start };
     }
     const { record, version } = found.value;
-    const finding = judgeFound(record, mine, this.#ports.clock.calendar());
-    return finding === Finding.MayTakeOver
+    const finding = classifyExistingRecord(
+      record,
+      mine,
+      this.#ports.clock.calendar(),
+    );
+    return finding === ExistingRecordStatus.MayTakeOver
       ? { kind: "again", expectedVersion: version }
       : {
           kind: "start",
@@ -208,7 +212,7 @@
   async #readStored(
     mine: RunRecord,
   ): Promise<Result<StoredRecord | "unreadable", ICallFailure>> {
-    const { kind, name } = locationOf(mine);
+    const { kind, name } = runRecordLocation(mine);
     const read = await this.#ports.platform.read(kind, name);
     return read.map((object) => {
       if (object.isNone()) {
@@ -224,7 +228,7 @@
     record: RunRecord,
     expectedVersion: number | null,
   ): Promise<Result<number, IWriteFailure>> {
-    const location = locationOf(record);
+    const location = runRecordLocation(record);
     const write = { ...location, value: record, expectedVersion };
     return this.#ports.platform.write(write);
   }
@@ -242,25 +246,25 @@
 }
 
 function startFromFinding(
-  finding: Exclude<Finding, Finding.MayTakeOver>,
+  finding: Exclude<ExistingRecordStatus, ExistingRecordStatus.MayTakeOver>,
   permit: IRunPermit,
 ): Result<RunStart, IRefusal> {
   const { answer, omitted } = permit.record;
   switch (finding) {
-    case Finding.Mine:
+    case ExistingRecordStatus.OwnAttempt:
       return Ok({ kind: "run", permit });
-    case Finding.Recorded:
+    case ExistingRecordStatus.Recorded:
       return Ok({ kind: "recorded", answer, omitted });
-    case Finding.BodyDiffers: {
+    case ExistingRecordStatus.BodyDiffers: {
       const detail = "the Idempotency-Key was used with another body";
-      return Err(notRun(Reason.KeyReused, detail));
+      return Err(notRun(Reason.IdempotencyKeyReused, detail));
     }
-    case Finding.InProgress: {
+    case ExistingRecordStatus.InProgress: {
       const detail = "a call with this key is in progress; ask again for it";
       const retryAfter = IN_PROGRESS_RETRY_AFTER;
       return Err(outcomeUnknown(Reason.InProgress, detail, retryAfter));
     }
-    case Finding.Unknown: {
+    case ExistingRecordStatus.Unknown: {
       const detail =
         "a call with this key may have run; look at the service whether it " +
         "did, and use a new key only if it did not";
--- a/src/common/services/run_record_sweeper.ts
+++ b/src/common/services/run_record_sweeper.ts
@@ -4,7 +4,7 @@
  */
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
-import { kindOfBucket, RUN_BUCKETS } from "../runs/run_location.ts";
+import { bucketKind, RUN_BUCKET_COUNT } from "../runs/run_record_location.ts";
 import { parseRunRecord } from "../runs/run_record.ts";
 import type { IClock, ILog, IPlatform, IRandom } from "./services.ts";
 
@@ -57,7 +57,7 @@
   /** Removes expired records from a bucket; returns how many were removed. */
   async sweep(bucket: number): Promise<number> {
     const { platform, clock } = this.#ports;
-    const kind = kindOfBucket(bucket);
+    const kind = bucketKind(bucket);
     const listed = await platform.list(kind);
     if (listed.isErr()) {
       return 0;
@@ -78,7 +78,7 @@
   #tick(): void {
     const { isChosen, random } = this.#ports;
     if (isChosen() && !this.#isSweeping) {
-      void this.#sweepAndLog(Math.floor(random.next() * RUN_BUCKETS));
+      void this.#sweepAndLog(Math.floor(random.next() * RUN_BUCKET_COUNT));
     }
   }
 
--- a/src/common/services/run_record_sweeper_test.ts
+++ b/src/common/services/run_record_sweeper_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import { Ok } from "ts-results-es";
-import { kindOfBucket, locationOf } from "../runs/run_location.ts";
-import { openRecord } from "../runs/run_record.ts";
+import { bucketKind, runRecordLocation } from "../runs/run_record_location.ts";
+import { createOpenRecord } from "../runs/run_record.ts";
 import { RunRecordSweeper } from "./run_record_sweeper.ts";
 import type { IPlatform } from "./services.ts";
 
@@ -13,14 +13,14 @@
 function recordCreatedAt(createdAt: number, key: string) {
   const run = { account: "desk", operation: "delivery-api/publish", key };
   const details = { bodyDigest: "d", attempt: "a", requestId: "r" };
-  return openRecord(run, { ...details, createdAt, openUntil: createdAt });
+  return createOpenRecord(run, { ...details, createdAt, openUntil: createdAt });
 }
 
 describe("RunRecordSweeper", () => {
   async function sweep(values: readonly unknown[]): Promise<string[]> {
     const removed: string[] = [];
     const objects = values.map((value, index) => {
-      return { kind: kindOfBucket(7), name: `${index}`, version: index, value };
+      return { kind: bucketKind(7), name: `${index}`, version: index, value };
     });
     const platform = {
       list: () => Promise.resolve(Ok({ version: 1, objects })),
@@ -63,7 +63,7 @@
   it("distributes keys over many kinds", () => {
     const kinds = new Set<string>();
     for (let index = 0; index < 1_000; index++) {
-      kinds.add(locationOf(recordCreatedAt(0, `item-${index}`)).kind);
+      kinds.add(runRecordLocation(recordCreatedAt(0, `item-${index}`)).kind);
     }
     expect(kinds.size).to.be.greaterThan(500);
   });
--- a/src/common/services/spilling_engine_runner.ts
+++ b/src/common/services/spilling_engine_runner.ts
@@ -125,7 +125,7 @@
    */
   #maySpill(request: ICallerRequest, refusal: IRefusal | null): boolean {
     const isUnserved =
-      refusal?.reason === Reason.NoReplica ||
+      refusal?.reason === Reason.NoReplicaAvailable ||
       refusal?.reason === Reason.TargetLost;
     const hasTime = this.#parts.clock.now() < request.deadline;
     return isUnserved && hasTime && !request.signal.aborted;
--- a/src/common/services/target_directory.ts
+++ b/src/common/services/target_directory.ts
@@ -6,11 +6,11 @@
 import { Backoff } from "../backoff.ts";
 import { DisposableStore } from "../disposable.ts";
 import type { IDisposable } from "../disposable.ts";
-import { PauseWatch } from "../pause_watch.ts";
+import { PauseDetector } from "../pause_detector.ts";
 import type {
   IInstance,
   InstanceId,
-  ISeenReport,
+  ITimestampedReport,
   MonotonicTime,
   ZoneName,
 } from "../types.ts";
@@ -68,13 +68,13 @@
   readonly #live: ILiveDaemons;
   readonly #metrics: IMetrics;
   readonly #retry: Backoff;
-  readonly #pauses: PauseWatch;
+  readonly #pauses: PauseDetector;
   readonly #polling = new Set<InstanceId>();
   /** Whether this daemon polls a target; cleared when live daemons change. */
   readonly #assignments = new Map<InstanceId, boolean>();
-  readonly #ownPolls = new Map<InstanceId, ISeenReport>();
+  readonly #ownPolls = new Map<InstanceId, ITimestampedReport>();
   #instances = new Map<InstanceId, IInstance>();
-  readonly #reports = new Map<InstanceId, ISeenReport>();
+  readonly #reports = new Map<InstanceId, ITimestampedReport>();
 
   constructor(
     ports: IDirectoryPorts,
@@ -90,7 +90,7 @@
     this.#clock = ports.clock;
     this.#zone = options.zone;
     this.#timing = options.timing;
-    this.#pauses = new PauseWatch(options.timing.pauseBound);
+    this.#pauses = new PauseDetector(options.timing.pauseBound);
   }
 
   /** Instances of this zone according to the platform's lagging list. */
@@ -99,7 +99,7 @@
   }
 
   /** The last report of each target. */
-  get reports(): ReadonlyMap<InstanceId, ISeenReport> {
+  get reports(): ReadonlyMap<InstanceId, ITimestampedReport> {
     return this.#reports;
   }
 
@@ -109,7 +109,7 @@
   }
 
   /** Recent reports that this daemon polled itself, to be shared. */
-  ownReports(): readonly ISeenReport[] {
+  ownReports(): readonly ITimestampedReport[] {
     const { pollEvery, pollTimeout } = this.#timing;
     const oldest =
       this.#clock.now() - SHARED_POLL_PERIODS * pollEvery - pollTimeout;
@@ -119,7 +119,7 @@
   }
 
   /** Merges reports; skips unlisted instances and reports not fresher. */
-  mergeReports(reports: readonly ISeenReport[]): void {
+  mergeReports(reports: readonly ITimestampedReport[]): void {
     for (const seen of reports) {
       const id = seen.report.instance;
       const known = this.#reports.get(id);
@@ -147,7 +147,9 @@
     if (isRead) {
       this.#retry.reset();
     }
-    const pause = isRead ? this.#timing.instancesEvery : this.#retry.next();
+    const pause = isRead
+      ? this.#timing.instancesEvery
+      : this.#retry.nextDelay();
     this.#owned.add(
       this.#clock.after(pause, () => void this.#followInstances()),
     );
--- a/src/common/types.ts
+++ b/src/common/types.ts
@@ -39,16 +39,16 @@
   NoSuchOperation = "no_such_operation",
   BadRequest = "bad_request",
   BodyTooLarge = "body_too_large",
-  KeyRequired = "idempotency_key_required",
-  KeyReused = "idempotency_key_reused",
+  IdempotencyKeyRequired = "idempotency_key_required",
+  IdempotencyKeyReused = "idempotency_key_reused",
   InProgress = "in_progress",
   OutcomeUnknown = "outcome_unknown",
   OverLimit = "over_limit",
   DeadlineTooNear = "deadline_too_near",
   QueueFull = "queue_full",
-  NoReplica = "no_replica_available",
+  NoReplicaAvailable = "no_replica_available",
   PlatformUnavailable = "platform_unavailable",
-  ListsUnknown = "plan_lists_unknown",
+  PlanListsUnknown = "plan_lists_unknown",
   TargetLost = "target_lost",
   TargetRefused = "target_refused",
   ShuttingDown = "shutting_down",
@@ -135,7 +135,7 @@
 }
 
 /** A report with the moment, on this daemon's clock, it describes. */
-export interface ISeenReport {
+export interface ITimestampedReport {
   readonly report: ITargetReport;
   readonly seenAt: MonotonicTime;
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -9,8 +9,8 @@
 import { GrpcPeers } from "../adapters/peers/grpc_peers.ts";
 import { HttpPlatform } from "../adapters/platform/http_platform.ts";
 import {
-  MutualPeerCredentials,
-  PlainPeerCredentials,
+  MutualTlsPeerCredentials,
+  InsecurePeerCredentials,
 } from "../adapters/tls/peer_credentials.ts";
 import type { IPeerCredentials } from "../adapters/tls/peer_credentials.ts";
 import { SystemRandom } from "../adapters/random/system_random.ts";
@@ -36,7 +36,7 @@
 import type { IDaemonEntry, IPlatform } from "../common/services/services.ts";
 import { OperationsServer } from "./operations_server.ts";
 import type { IStatusSource } from "./operations_server.ts";
-import { RequestPath } from "./request_path.ts";
+import { RequestPipeline } from "./request_pipeline.ts";
 import { burnObjectives, serviceDefinitions } from "./settings.ts";
 import type { Settings } from "./settings.ts";
 import { domainOptions } from "./domain_options.ts";
@@ -48,7 +48,7 @@
 const SWEEP_DUTY = "run_records";
 
 /** A poll later by this share of the freshness shows a pause of the daemon. */
-const PAUSE_SHARE = 0.2;
+const POLL_PAUSE_SHARE = 0.2;
 
 /** Where a running daemon listens. */
 export interface IDaemonAddresses {
@@ -65,13 +65,13 @@
   readonly #random = new SystemRandom();
   readonly #metrics = new PrometheusMetrics();
   readonly #id: string;
-  readonly #http: HttpPlatform;
+  readonly #httpPlatform: HttpPlatform;
   readonly #platform: IPlatform;
   readonly #targets = new HttpTargets();
   readonly #hash: XxhashHash;
   readonly #credentials: IPeerCredentials;
   readonly #peers: GrpcPeers;
-  readonly #live: LiveDaemons;
+  readonly #liveDaemons: LiveDaemons;
   readonly #alarms: Alarms;
   readonly #burn: BurnRecorder;
   readonly #lists: PlanListService;
@@ -81,7 +81,7 @@
   readonly #health: GroupHealth;
   readonly #sweeper: RunRecordSweeper;
   readonly #forwarder: GrpcForwarder;
-  readonly #path: RequestPath;
+  readonly #pipeline: RequestPipeline;
   readonly #callers: HttpCallerServer;
   readonly #operations: OperationsServer;
   readonly #peerServer: GrpcPeerServer;
@@ -95,12 +95,14 @@
     this.#id = `${settings.daemon.name}/${this.#random.identifier()}`;
     this.#hash = hash;
     this.#credentials = settings.tls.peers
-      ? new MutualPeerCredentials(settings.tls.peers)
-      : new PlainPeerCredentials();
+      ? new MutualTlsPeerCredentials(settings.tls.peers)
+      : new InsecurePeerCredentials();
     this.#peers = new GrpcPeers(this.#credentials);
-    this.#live = new LiveDaemons(this.#id, hash);
-    this.#http = new HttpPlatform(`http://${settings.platform.address}`);
-    this.#platform = new MeteredPlatform(this.#http, this.#metrics);
+    this.#liveDaemons = new LiveDaemons(this.#id, hash);
+    this.#httpPlatform = new HttpPlatform(
+      `http://${settings.platform.address}`,
+    );
+    this.#platform = new MeteredPlatform(this.#httpPlatform, this.#metrics);
     this.#alarms = new Alarms(this.#clock, log, { metrics: this.#metrics });
     this.#burn = new BurnRecorder(this.#clock, burnObjectives(settings));
     this.#lists = this.#createLists();
@@ -112,14 +114,14 @@
         domains: () => this.#domains.all,
         clock: this.#clock,
         random: this.#random,
-        live: this.#live,
+        live: this.#liveDaemons,
       },
       settings.groups.freshness,
     );
     this.#health = this.#createHealth();
     this.#sweeper = this.#createSweeper();
     this.#forwarder = new GrpcForwarder(this.#credentials);
-    this.#path = this.#createPath();
+    this.#pipeline = this.#createPipeline();
     this.#callers = this.#createCallerServer();
     this.#operations = new OperationsServer(this, this.#metrics);
     this.#digests = this.#createDigests();
@@ -154,10 +156,10 @@
       zone,
       ready: this.isReady,
       stopping: this.#isStopping,
-      in_flight: this.#path.dispatcher.inFlight,
+      in_flight: this.#pipeline.dispatcher.inFlight,
       lists: this.#lists.versions,
       lists_age_ms: this.#lists.age,
-      live_daemons: this.#live.inZone,
+      live_daemons: this.#liveDaemons.inZone,
       zones: this.#peerService?.zones ?? [],
       alarms: this.#alarms.raised,
       findings: [
@@ -190,9 +192,11 @@
       return;
     }
     this.#isStopping = true;
-    this.#log.info("stopping", { in_flight: this.#path.dispatcher.inFlight });
+    this.#log.info("stopping", {
+      in_flight: this.#pipeline.dispatcher.inFlight,
+    });
     await this.#callers.stop();
-    await this.#path.close();
+    await this.#pipeline.close();
     this.#sweeper.dispose();
     await this.#domains.close();
     this.#health.dispose();
@@ -205,7 +209,7 @@
     await this.#forwarder[Symbol.asyncDispose]();
     await this.#operations[Symbol.asyncDispose]();
     await this.#targets[Symbol.asyncDispose]();
-    await this.#http[Symbol.asyncDispose]();
+    await this.#httpPlatform[Symbol.asyncDispose]();
     this.#log.info("stopped");
     await this.#log[Symbol.asyncDispose]();
   }
@@ -225,7 +229,9 @@
     });
     const { lists } = this.#settings;
     this.#lists.start(
-      { isWatcher: () => this.#live.isChosen(WATCH_DUTY, lists.watchers) },
+      {
+        isWatcher: () => this.#liveDaemons.isChosen(WATCH_DUTY, lists.watchers),
+      },
       {
         watch: lists.watch,
         poll: lists.poll,
@@ -261,7 +267,7 @@
         clock: this.#clock,
         random: this.#random,
         metrics: this.#metrics,
-        live: this.#live,
+        live: this.#liveDaemons,
       },
       {
         zone: daemon.zone,
@@ -270,7 +276,7 @@
           pollTimeout: polling.timeout,
           instancesEvery: polling.instances,
           pollOthersAfter: groups.freshness / 2,
-          pauseBound: polling.targets + groups.freshness * PAUSE_SHARE,
+          pauseBound: polling.targets + groups.freshness * POLL_PAUSE_SHARE,
         },
       },
     );
@@ -284,7 +290,7 @@
         clock: this.#clock,
         log: this.#log,
         directory: this.#directory,
-        live: this.#live,
+        live: this.#liveDaemons,
       },
       domainOptions(this.#settings, this.#id),
     );
@@ -296,7 +302,7 @@
       clock: this.#clock,
       random: this.#random,
       log: this.#log,
-      isChosen: () => this.#live.isChosen(SWEEP_DUTY, 1),
+      isChosen: () => this.#liveDaemons.isChosen(SWEEP_DUTY, 1),
     });
   }
 
@@ -311,8 +317,8 @@
     });
   }
 
-  #createPath(): RequestPath {
-    return new RequestPath(this.#settings, {
+  #createPipeline(): RequestPipeline {
+    return new RequestPipeline(this.#settings, {
       platform: this.#platform,
       targets: this.#targets,
       groups: this.#groups,
@@ -328,7 +334,7 @@
 
   #createCallerServer(): HttpCallerServer {
     return new HttpCallerServer({
-      dispatcher: this.#path.dispatcher,
+      dispatcher: this.#pipeline.dispatcher,
       book: this.#lists.plans,
       burn: this.#burn,
       areListsReady: () => this.#lists.isReady,
@@ -352,7 +358,7 @@
         log: this.#log,
         metrics: this.#metrics,
         lists: this.#lists,
-        live: this.#live,
+        live: this.#liveDaemons,
         seeds: this.#settings.daemon.seeds,
         loads: () => zoneLoads(this.#groups, this.#directory),
       },
@@ -391,10 +397,11 @@
       zones: (question) => started().answerZones(question),
       listText: (list) => this.#lists.plans.text(list),
     };
-    const { forwards } = this.#path;
+    const { forwardService } = this.#pipeline;
     return new GrpcPeerServer(answers, {
       credentials: this.#credentials,
-      forwarded: (request, signal) => forwards.serve(request, signal),
+      onForwardedRequest: (request, signal) =>
+        forwardService.serve(request, signal),
     });
   }
 }
--- a/src/daemon/domain_options.ts
+++ b/src/daemon/domain_options.ts
@@ -17,9 +17,9 @@
 const PAUSE_SHARE = 0.2;
 
 /** Losses are forgotten slower than the longest hold lasts. */
-const FORGET_SHARE = 2;
+const FORGET_FACTOR = 2;
 
-const DAY = 24 * 3_600_000;
+const DAY_MS = 24 * 3_600_000;
 
 /** Options for every domain of the daemon's zone. */
 export function domainOptions(
@@ -47,7 +47,7 @@
       replaceAfter: groups.replace_after,
       holdAfterLoss: groups.hold_after_loss,
       longestHold: groups.longest_hold,
-      forgetHalf: groups.longest_hold * FORGET_SHARE,
+      forgetHalf: groups.longest_hold * FORGET_FACTOR,
     },
     observeEvery: polling.domains,
     wanted: (engines) => wantedGroups(settings, engines),
@@ -85,7 +85,7 @@
       strandedAccelerators: weights.stranded_accelerators,
     },
     {
-      timeBetweenFailures: DAY / groups.failures_a_day,
+      timeBetweenFailures: DAY_MS / groups.failures_a_day,
       returnTime: groups.return_time,
       healTime: groups.heal_time,
     },
--- a/src/daemon/operations_server.ts
+++ b/src/daemon/operations_server.ts
@@ -1,7 +1,7 @@
 /** What operators and collectors read: status, readiness, metrics. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
-import { addressOfServer } from "../adapters/listen.ts";
+import { listenOn } from "../adapters/listen.ts";
 import type { PrometheusMetrics } from "../adapters/metrics/prometheus_metrics.ts";
 
 /** A daemon's own account of itself. */
@@ -26,7 +26,7 @@
   }
 
   listen(address: string): Promise<string> {
-    return addressOfServer(this.#server, address);
+    return listenOn(this.#server, address);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
--- a/src/daemon/request_path.ts
+++ b/src/daemon/request_pipeline.ts
@@ -1,9 +1,9 @@
 /** Wires the way of a request: admission, runners, and other zones. */
-import { digestOf } from "../adapters/callers/http_caller_server.ts";
+import { sha256Hex } from "../adapters/callers/http_caller_server.ts";
 import type { GrpcForwarder } from "../adapters/peers/grpc_forwarder.ts";
 import { chooseSpillTargets } from "../common/decisions/spill.ts";
 import type { IZoneSummary } from "../common/membership/zone_directory.ts";
-import type { PlanBook } from "../common/plans/plan_book.ts";
+import type { EffectivePlans } from "../common/plans/effective_plans.ts";
 import { AdmissionService } from "../common/services/admission_service.ts";
 import { CallDispatcher } from "../common/services/call_dispatcher.ts";
 import { EngineRunner } from "../common/services/engine_runner.ts";
@@ -28,12 +28,12 @@
 import type { Settings } from "./settings.ts";
 
 /** What the way of a request is made of. */
-export interface IRequestPathParts {
+export interface IRequestPipelineParts {
   readonly platform: IPlatform;
   readonly targets: ITargets;
   readonly groups: GroupDirectory;
   readonly forwarder: GrpcForwarder;
-  readonly book: PlanBook;
+  readonly book: EffectivePlans;
   /** What is known of the other zones. */
   readonly zones: () => readonly IZoneSummary[];
   readonly clock: IClock;
@@ -43,15 +43,15 @@
 }
 
 /** Everything between a checked request and its answer. */
-export class RequestPath {
+export class RequestPipeline {
   readonly dispatcher: CallDispatcher;
-  readonly forwards: ForwardService;
-  readonly #parts: IRequestPathParts;
+  readonly forwardService: ForwardService;
+  readonly #parts: IRequestPipelineParts;
   readonly #settings: Settings;
   readonly #retries: RetryService;
   readonly #services: PlainServiceRunner;
 
-  constructor(settings: Settings, parts: IRequestPathParts) {
+  constructor(settings: Settings, parts: IRequestPipelineParts) {
     this.#settings = settings;
     this.#parts = parts;
     const { book, clock, metrics } = parts;
@@ -60,7 +60,7 @@
     const engines = this.#createEngines();
     const services = serviceDefinitions(settings);
     this.#services = this.#createServices();
-    this.forwards = new ForwardService({
+    this.forwardService = new ForwardService({
       ...{ admission, engines, book, services, clock },
     });
     this.dispatcher = new CallDispatcher({
@@ -74,7 +74,7 @@
 
   /** Lets requests of other zones and calls that run once finish. */
   async close(): Promise<void> {
-    await this.forwards.stop();
+    await this.forwardService.stop();
     await this.#services.close();
   }
 
@@ -117,7 +117,7 @@
       this.#parts;
     const records = new RunRecordService({
       ...{ platform, clock, random, log, metrics },
-      digest: digestOf,
+      digest: sha256Hex,
     });
     return new PlainServiceRunner({
       ...{ groups, targets, records, clock },
--- a/src/entry/fleet_coordinator_test.ts
+++ b/src/entry/fleet_coordinator_test.ts
@@ -1,8 +1,15 @@
 import { expect } from "chai";
 import { Err, None, Ok, Some } from "ts-results-es";
-import { engineState, LARGE, SMALL } from "../../test/support/engines.ts";
+import {
+  engineState,
+  LARGE,
+  SMALL,
+} from "../../test/support/engine_fixtures.ts";
 import { ManualClock } from "../../test/support/manual_clock.ts";
-import { KeptLog, NO_METRICS } from "../../test/support/quiet_services.ts";
+import {
+  RecordingLog,
+  NO_METRICS,
+} from "../../test/support/recording_services.ts";
 import { SeededRandom } from "../../test/support/seeded_random.ts";
 import { ActiveConfiguration } from "../common/calls/active_configuration.ts";
 import { ServingGroups } from "../common/calls/serving_groups.ts";
@@ -216,7 +223,7 @@
 /** One process in a test deployment. */
 class TestProcess {
   readonly groups = new ServingGroups();
-  readonly log = new KeptLog();
+  readonly log = new RecordingLog();
   readonly coordinator: FleetCoordinator;
   readonly lost: string[] = [];
   /** The fewest known groups since it was set. */
--- a/src/load_tool/arrivals.ts
+++ b/src/load_tool/arrivals.ts
@@ -36,37 +36,40 @@
 
   plan(duration: number): IArrival[] {
     const arrivals: IArrival[] = [];
-    const fastest = this.#fastestRate();
-    let at = this.#wait(fastest);
+    const fastest = this.#peakRate();
+    let at = this.#interarrivalTime(fastest);
     while (at < duration) {
       // Thinning: candidates come at the fastest rate and are kept in
       // proportion to the rate at their moment.
-      if (this.#next() * fastest < this.#rateAt(at)) {
-        arrivals.push(this.#arrival(at, arrivals.length));
+      if (this.#uniform() * fastest < this.#rateAt(at)) {
+        arrivals.push(this.#createArrival(at, arrivals.length));
       }
-      at += this.#wait(fastest);
+      at += this.#interarrivalTime(fastest);
     }
     return arrivals;
   }
 
-  #arrival(at: number, index: number): IArrival {
+  #createArrival(at: number, index: number): IArrival {
     const { hasKey, name } = this.#stream;
     const key = hasKey ? `${name}-${this.#seed}-${index}` : null;
-    const maximumTokens = this.#size(this.#stream.maximumTokens);
-    const body = { prompt: this.#prompt(), maximum_tokens: maximumTokens };
+    const maximumTokens = this.#randomSize(this.#stream.maximumTokens);
+    const body = {
+      prompt: this.#createPrompt(),
+      maximum_tokens: maximumTokens,
+    };
     return { stream: this.#stream, at, body, key };
   }
 
-  #prompt(): string {
+  #createPrompt(): string {
     const { sharedPrefixes } = this.#stream;
-    const words = this.#size(this.#stream.promptWords);
+    const words = this.#randomSize(this.#stream.promptWords);
     const own = Array.from({ length: words }, () =>
-      Math.floor(this.#next() * 10_000).toString(36),
+      Math.floor(this.#uniform() * 10_000).toString(36),
     );
     if (sharedPrefixes === 0) {
       return own.join(" ");
     }
-    const prefix = Math.floor(this.#next() * sharedPrefixes);
+    const prefix = Math.floor(this.#uniform() * sharedPrefixes);
     const shared = Array<string>(PREFIX_WORDS).fill(`prefix${prefix}`);
     return [...shared, ...own].join(" ");
   }
@@ -77,26 +80,26 @@
     return rate * (burst?.factor ?? 1);
   }
 
-  #fastestRate(): number {
+  #peakRate(): number {
     const { bursts, rate } = this.#stream;
     return rate * Math.max(1, ...bursts.map(({ factor }) => factor));
   }
 
   /** Time to the next candidate, exponentially distributed. */
-  #wait(rate: number): number {
+  #interarrivalTime(rate: number): number {
     return (this.#exponential() * MILLISECONDS_PER_SECOND) / rate;
   }
 
-  #size(ordinary: number): number {
+  #randomSize(ordinary: number): number {
     const factor = Math.min(this.#exponential(), LARGEST_SIZE_FACTOR);
     return Math.max(1, Math.round(ordinary * factor));
   }
 
   #exponential(): number {
-    return -Math.log(1 - this.#next());
+    return -Math.log(1 - this.#uniform());
   }
 
-  #next(): number {
+  #uniform(): number {
     return uniformFloat64(this.#generator);
   }
 }
--- a/src/load_tool/main.ts
+++ b/src/load_tool/main.ts
@@ -5,9 +5,9 @@
 import { Command, Option, runExit } from "clipanion";
 import { formatFinding } from "../common/plans/findings.ts";
 import { planArrivals } from "./arrivals.ts";
-import { loadProfile } from "./profile.ts";
+import { readProfile } from "./profile.ts";
 import { Sender } from "./sender.ts";
-import { formatSummary, Summary } from "./summary.ts";
+import { formatSummary, LoadSummary } from "./summary.ts";
 import type { IArrival } from "./types.ts";
 
 const EXIT_FINDINGS = 2;
@@ -23,7 +23,7 @@
   json = Option.Boolean("--json", false);
 
   override async execute(): Promise<number> {
-    const profile = loadProfile(this.profile);
+    const profile = readProfile(this.profile);
     if (profile.isErr()) {
       for (const finding of profile.error) {
         this.context.stderr.write(`${formatFinding(finding)}\n`);
@@ -44,8 +44,8 @@
 async function sendAll(
   arrivals: readonly IArrival[],
   sender: Sender,
-): Promise<Summary> {
-  const summary = new Summary();
+): Promise<LoadSummary> {
+  const summary = new LoadSummary();
   const started = performance.now();
   const open: Promise<void>[] = [];
   for (const arrival of arrivals) {
--- a/src/load_tool/profile.ts
+++ b/src/load_tool/profile.ts
@@ -64,7 +64,7 @@
 }
 
 /** Reads and checks a profile's file. */
-export function loadProfile(
+export function readProfile(
   path: string,
 ): Result<ILoadProfile, readonly IFinding[]> {
   try {
--- a/src/load_tool/sender.ts
+++ b/src/load_tool/sender.ts
@@ -5,9 +5,9 @@
 import type { IArrival, ILoadResult } from "./types.ts";
 
 /** Silence after which the tool itself gives a request up, milliseconds. */
-const SILENCE_TIMEOUT = 60_000;
+const IDLE_TIMEOUT = 60_000;
 
-interface IReading {
+interface IMeasuredAnswer {
   outcome: string;
   reason: string;
   firstByte: number;
@@ -18,8 +18,8 @@
 export class Sender {
   readonly #addresses: readonly string[];
   readonly #agent = new Agent({
-    headersTimeout: SILENCE_TIMEOUT,
-    bodyTimeout: SILENCE_TIMEOUT,
+    headersTimeout: IDLE_TIMEOUT,
+    bodyTimeout: IDLE_TIMEOUT,
   });
   #sent = 0;
 
@@ -29,14 +29,14 @@
 
   /** @param due - when the request was due, on this process's clock */
   async send(arrival: IArrival, due: number): Promise<ILoadResult> {
-    const reading: IReading = {
+    const reading: IMeasuredAnswer = {
       outcome: "reset",
       reason: "",
       firstByte: 0,
       gaps: [],
     };
     try {
-      await this.#exchange(arrival, due, reading);
+      await this.#sendRequest(arrival, due, reading);
     } catch (error) {
       reading.outcome = "reset";
       reading.reason = error instanceof Error ? error.name : "";
@@ -55,10 +55,10 @@
     await this.#agent.destroy();
   }
 
-  async #exchange(
+  async #sendRequest(
     arrival: IArrival,
     due: number,
-    reading: IReading,
+    reading: IMeasuredAnswer,
   ): Promise<void> {
     const answer = await request(this.#url(arrival), {
       method: "POST",
@@ -95,7 +95,7 @@
 async function readEvents(
   body: AsyncIterable<Buffer>,
   due: number,
-  reading: IReading,
+  reading: IMeasuredAnswer,
 ): Promise<void> {
   let last = 0;
   const parser = createParser({
--- a/src/load_tool/summary.ts
+++ b/src/load_tool/summary.ts
@@ -24,13 +24,13 @@
 }
 
 /** Collects results as they come. */
-export class Summary {
-  readonly #streams = new Map<string, StreamTally>();
+export class LoadSummary {
+  readonly #streams = new Map<string, StreamStatistics>();
 
   add(result: ILoadResult): void {
     let tally = this.#streams.get(result.stream);
     if (tally === undefined) {
-      tally = new StreamTally(result.stream);
+      tally = new StreamStatistics(result.stream);
       this.#streams.set(result.stream, tally);
     }
     tally.add(result);
@@ -41,7 +41,7 @@
   }
 }
 
-class StreamTally {
+class StreamStatistics {
   readonly #stream: string;
   readonly #firstByte = createHistogram();
   readonly #gap = createHistogram();
--- a/src/stand_ins/embedded/main.ts
+++ b/src/stand_ins/embedded/main.ts
@@ -7,7 +7,7 @@
 import { Daemon } from "../../daemon/daemon.ts";
 import { checkSettings } from "../../daemon/settings.ts";
 import { EngineMember } from "../engine_member/engine_member.ts";
-import { Fencing } from "../engine_member/types.ts";
+import { FencingMode } from "../engine_member/types.ts";
 import { ObjectApiServer } from "../object_api/object_api_server.ts";
 import { PlainService } from "../plain_service/plain_service.ts";
 import { registerInstance } from "../shared/register.ts";
@@ -17,7 +17,7 @@
 const ANY_PORT = "127.0.0.1:0";
 const CALLERS = process.env["CRANBERRYLEDGE_CALLERS"] ?? "127.0.0.1:8080";
 const ENGINES = 8;
-const READY_CHECK_EVERY = 200;
+const READY_CHECK_INTERVAL = 200;
 
 /** Examples stand beside the sources and beside the build alike. */
 const EXAMPLES = `${process.cwd()}/examples/song_lam`;
@@ -26,7 +26,7 @@
   const id = `engine-${index}`;
   const member = new EngineMember({
     id,
-    fencing: Fencing.Refuse,
+    fencing: FencingMode.Refuse,
     loadTime: 500,
     firstTokenTime: 50,
     tokenTime: 20,
@@ -62,7 +62,7 @@
   });
 }
 
-async function putLists(platform: string): Promise<void> {
+async function putPlanLists(platform: string): Promise<void> {
   for (const list of Object.values(PlanListName)) {
     const text = readFileSync(`${EXAMPLES}/${list}.yaml`, "utf8");
     const url = `http://${platform}/objects/${PLAN_LIST_KIND}/${list}`;
@@ -97,7 +97,7 @@
 async function main(): Promise<void> {
   const api = new ObjectApiServer({ instanceLag: 100 });
   const platform = await api.listen(ANY_PORT);
-  await putLists(platform);
+  await putPlanLists(platform);
   for (let index = 0; index < ENGINES; index++) {
     await startEngine(platform, index);
   }
@@ -106,14 +106,14 @@
   const check = setInterval(() => {
     if (daemon.canServe) {
       clearInterval(check);
-      printGreeting(platform);
+      printExampleCall(platform);
     }
-  }, READY_CHECK_EVERY);
+  }, READY_CHECK_INTERVAL);
   process.on("SIGINT", () => void daemon.stop().then(() => process.exit(0)));
   process.on("SIGTERM", () => void daemon.stop().then(() => process.exit(0)));
 }
 
-function printGreeting(platform: string): void {
+function printExampleCall(platform: string): void {
   console.log(`
 Serving on http://${CALLERS}, platform stand-in on ${platform}. Try:
 
