--- a/src/stand_ins/engine_member/engine_member.ts
+++ b/src/stand_ins/engine_member/engine_member.ts
@@ -11,19 +11,19 @@
 import { TargetState } from "../../common/types.ts";
 import type { IGroupMembership, ITargetReport } from "../../common/types.ts";
 import { requestIdOf } from "../../adapters/targets/wire_id.ts";
-import { JsonServer, ok, refuse } from "../shared/json_server.ts";
+import { JsonServer, okAnswer, errorAnswer } from "../shared/json_server.ts";
 import type { IJsonAnswer, IJsonRequest } from "../shared/json_server.ts";
-import { StreamFaults } from "./stream_fault.ts";
+import { StreamFaultInjector } from "./stream_fault_injector.ts";
 import { tokenText } from "./text.ts";
-import { Fencing } from "./types.ts";
-import type { IEngineDeed, IEngineOptions } from "./types.ts";
+import { FencingMode } from "./types.ts";
+import type { IEngineLogEntry, IEngineMemberOptions } from "./types.ts";
 
 const STATUS_NOT_FOUND = 404;
 const STATUS_REFUSED = 409;
 const STATUS_UNAVAILABLE = 503;
 
 /** How often the other members are asked while a request runs. */
-const MEMBER_CHECK_EVERY = 100;
+const MEMBER_CHECK_INTERVAL = 100;
 const MEMBER_CHECK_TIMEOUT = 500;
 
 interface IMembership extends IGroupMembership {
@@ -31,7 +31,7 @@
   readonly members: readonly string[];
 }
 
-interface IWork {
+interface IMemberWork {
   readonly requestId: string;
   readonly group: string;
   readonly generation: number;
@@ -39,25 +39,28 @@
 
 /** One instance of the model engine. */
 export class EngineMember {
-  readonly #options: IEngineOptions;
+  readonly #options: IEngineMemberOptions;
   readonly #incarnation = randomUUID();
-  readonly #deeds: IEngineDeed[] = [];
+  readonly #log: IEngineLogEntry[] = [];
   readonly #server = new JsonServer((request) => this.#handle(request));
-  readonly #faults = new StreamFaults();
+  readonly #faults = new StreamFaultInjector();
   #state = TargetState.Free;
   #membership: IMembership | null = null;
   #model = "";
   #highestEpoch = 0;
   #running = 0;
-  #reported = { running: 0, tokens: 0 };
+  #reportedLoad = { running: 0, tokens: 0 };
   #tokens = 0;
 
-  constructor(options: IEngineOptions) {
+  constructor(options: IEngineMemberOptions) {
     this.#options = options;
   }
 
   listen(address: string): Promise<string> {
-    setInterval(() => this.#takeReport(), this.#options.reportLag).unref();
+    setInterval(
+      () => this.#updateReportedLoad(),
+      this.#options.reportLag,
+    ).unref();
     return this.#server.listen(address);
   }
 
@@ -68,23 +71,23 @@
   #handle(request: IJsonRequest): Promise<IJsonAnswer | null> | IJsonAnswer {
     switch (request.parts[0]) {
       case "report":
-        return ok(this.#report());
+        return okAnswer(this.#report());
       case "orders":
-        return this.#order(request.body as IEngineOrder);
+        return this.#handleOrder(request.body as IEngineOrder);
       case "generate":
         return this.#generate(request.body as IEngineCall, request.response);
       case "work":
-        return this.#work(request.body as IWork);
+        return this.#handleWork(request.body as IMemberWork);
       case "leave":
         this.#state = TargetState.Leaving;
-        return ok({});
+        return okAnswer({});
       case "fault":
         this.#faults.set((request.body as { fault?: unknown }).fault);
-        return ok({});
+        return okAnswer({});
       case "record":
-        return ok({ deeds: this.#deeds });
+        return okAnswer({ deeds: this.#log });
       default:
-        return refuse(STATUS_NOT_FOUND, "no such path");
+        return errorAnswer(STATUS_NOT_FOUND, "no such path");
     }
   }
 
@@ -101,58 +104,58 @@
         rank: membership.rank,
       },
       model: this.#model,
-      running: this.#reported.running,
+      running: this.#reportedLoad.running,
       queued: 0,
-      tokens: this.#reported.tokens,
+      tokens: this.#reportedLoad.tokens,
       lag: this.#options.reportLag,
     };
   }
 
-  #takeReport(): void {
-    this.#reported = { running: this.#running, tokens: this.#tokens };
+  #updateReportedLoad(): void {
+    this.#reportedLoad = { running: this.#running, tokens: this.#tokens };
   }
 
-  async #order(order: IEngineOrder): Promise<IJsonAnswer> {
+  async #handleOrder(order: IEngineOrder): Promise<IJsonAnswer> {
     const { orderDelay, honoursValidity } = this.#options;
     if (orderDelay > 0) {
       await sleep(orderDelay);
     }
     if (honoursValidity && orderDelay > order.validFor) {
-      this.#keep("expired", order, "");
-      return refuse(STATUS_REFUSED, `valid for ${order.validFor} ms only`);
+      this.#record("expired", order, "");
+      return errorAnswer(STATUS_REFUSED, `valid for ${order.validFor} ms only`);
     }
-    return this.#obey(order);
+    return this.#applyOrder(order);
   }
 
-  #obey(order: IEngineOrder): IJsonAnswer {
+  #applyOrder(order: IEngineOrder): IJsonAnswer {
     const isOld = order.epoch < this.#highestEpoch;
-    if (isOld && this.#options.fencing === Fencing.Refuse) {
-      this.#keep("refused", order, "");
-      return refuse(STATUS_REFUSED, `epoch ${order.epoch} is superseded`);
+    if (isOld && this.#options.fencing === FencingMode.Refuse) {
+      this.#record("refused", order, "");
+      return errorAnswer(STATUS_REFUSED, `epoch ${order.epoch} is superseded`);
     }
     if (this.#state === TargetState.Leaving) {
-      return refuse(STATUS_UNAVAILABLE, "leaving");
+      return errorAnswer(STATUS_UNAVAILABLE, "leaving");
     }
     this.#highestEpoch = Math.max(this.#highestEpoch, order.epoch);
     if (order.kind === OrderKind.Release) {
       this.#membership = null;
       this.#state = TargetState.Free;
-      this.#keep("released", order, "");
-      return ok({});
+      this.#record("released", order, "");
+      return okAnswer({});
     }
     if (order.kind === OrderKind.Load) {
       return this.#loadSpare(order);
     }
     this.#join(order);
-    return ok({});
+    return okAnswer({});
   }
 
   /** Loads weights while in no group. */
   #loadSpare(order: IEngineOrder): IJsonAnswer {
     if (this.#membership !== null) {
-      return refuse(STATUS_REFUSED, "in a group");
+      return errorAnswer(STATUS_REFUSED, "in a group");
     }
-    this.#keep("loaded", order, "");
+    this.#record("loaded", order, "");
     this.#state = TargetState.Loading;
     setTimeout(() => {
       if (this.#membership === null && this.#state === TargetState.Loading) {
@@ -160,13 +163,13 @@
         this.#state = TargetState.Free;
       }
     }, this.#options.loadTime);
-    return ok({});
+    return okAnswer({});
   }
 
   #join(order: IEngineOrder): void {
     const { group, generation, epoch, rank, model, members } = order;
     this.#membership = { group, generation, epoch, rank, model, members };
-    this.#keep("joined", order, "");
+    this.#record("joined", order, "");
     if (this.#model === model) {
       this.#state = TargetState.Ready;
       return;
@@ -182,16 +185,20 @@
   }
 
   /** Another member asks this one to take part in a request. */
-  #work(work: IWork): IJsonAnswer {
+  #handleWork(work: IMemberWork): IJsonAnswer {
     const membership = this.#membership;
     const isOurs =
       membership?.group === work.group &&
       membership.generation === work.generation;
     if (!isOurs || !this.#isServing) {
-      return refuse(STATUS_REFUSED, "not a member of that group");
+      return errorAnswer(STATUS_REFUSED, "not a member of that group");
     }
-    this.#keep("worked", { ...work, epoch: membership.epoch }, work.requestId);
-    return ok({});
+    this.#record(
+      "worked",
+      { ...work, epoch: membership.epoch },
+      work.requestId,
+    );
+    return okAnswer({});
   }
 
   get #isServing(): boolean {
@@ -209,34 +216,36 @@
       membership?.group === wanted.group &&
       membership.generation === wanted.generation;
     if (membership === null || !this.#isServing) {
-      return refuse(STATUS_UNAVAILABLE, "in no group");
+      return errorAnswer(STATUS_UNAVAILABLE, "in no group");
     }
-    if (!isNamed && this.#options.fencing === Fencing.Refuse) {
-      return refuse(STATUS_REFUSED, "another group or generation");
+    if (!isNamed && this.#options.fencing === FencingMode.Refuse) {
+      return errorAnswer(STATUS_REFUSED, "another group or generation");
     }
     if (this.#state === TargetState.Leaving || this.#faults.isRefusing) {
-      return refuse(STATUS_UNAVAILABLE, "leaving");
+      return errorAnswer(STATUS_UNAVAILABLE, "leaving");
     }
-    if (!(await this.#askMembers(membership, wanted.requestId))) {
-      return refuse(STATUS_UNAVAILABLE, "a member is missing");
+    if (!(await this.#areMembersPresent(membership, wanted.requestId))) {
+      return errorAnswer(STATUS_UNAVAILABLE, "a member is missing");
     }
-    await this.#run(wanted, membership, response);
+    await this.#streamAnswer(wanted, membership, response);
     return null;
   }
 
-  async #run(
+  async #streamAnswer(
     wanted: IEngineCall,
     membership: IMembership,
     response: ServerResponse,
   ): Promise<void> {
     this.#running += 1;
-    this.#keep("began", membership, wanted.requestId);
+    this.#record("began", membership, wanted.requestId);
     let isBroken = false;
     const check = setInterval(() => {
-      void this.#askMembers(membership, wanted.requestId).then((isWhole) => {
-        isBroken ||= !isWhole;
-      });
-    }, MEMBER_CHECK_EVERY);
+      void this.#areMembersPresent(membership, wanted.requestId).then(
+        (isWhole) => {
+          isBroken ||= !isWhole;
+        },
+      );
+    }, MEMBER_CHECK_INTERVAL);
     await sleep(this.#options.firstTokenTime);
     response.writeHead(200, { "content-type": "text/event-stream" });
     let sequence = wanted.resumeFrom;
@@ -247,12 +256,12 @@
       !response.writableEnded
     ) {
       const text = tokenText(wanted.prompt, sequence);
-      const event = eventOf(wanted, membership, { sequence, text });
+      const event = formatEvent(wanted, membership, { sequence, text });
       const { requestId } = wanted;
-      const struck = this.#faults.strike(event, sequence, requestId);
+      const struck = this.#faults.apply(event, sequence, requestId);
       response.write(struck.text);
-      if (struck.breaks !== "no") {
-        breakOff(response, struck.breaks);
+      if (struck.closing !== "no") {
+        closeResponse(response, struck.closing);
       }
       sequence += 1;
       this.#tokens += 1;
@@ -262,7 +271,7 @@
     this.#running -= 1;
     this.#tokens -= sequence - wanted.resumeFrom;
     if (response.destroyed || response.writableEnded) {
-      this.#keep("cancelled", membership, wanted.requestId);
+      this.#record("cancelled", membership, wanted.requestId);
       return;
     }
     if (isBroken) {
@@ -270,8 +279,8 @@
       return;
     }
     const end = { sequence, text: "" };
-    response.end(`event: end\n${eventOf(wanted, membership, end)}`);
-    this.#keep("ended", membership, wanted.requestId);
+    response.end(`event: end\n${formatEvent(wanted, membership, end)}`);
+    this.#record("ended", membership, wanted.requestId);
   }
 
   get #tokenTime(): number {
@@ -280,7 +289,7 @@
   }
 
   /** Whether every other member takes part. */
-  async #askMembers(
+  async #areMembersPresent(
     membership: IMembership,
     requestId: string,
   ): Promise<boolean> {
@@ -288,13 +297,13 @@
     const others = members.filter((_, rank) => rank !== membership.rank);
     const body = JSON.stringify({ requestId, group, generation });
     const answers = await Promise.all(
-      others.map((address) => askMember(address, body)),
+      others.map((address) => isMemberPresent(address, body)),
     );
     return answers.every((isPresent) => isPresent);
   }
 
-  #keep(
-    kind: IEngineDeed["kind"],
+  #record(
+    kind: IEngineLogEntry["kind"],
     token: {
       group: string;
       generation: number;
@@ -307,11 +316,11 @@
     const { group, generation, epoch, members = [] } = token;
     const at = Date.now();
     const deed = { kind, at, group, generation, epoch, requestId, members };
-    this.#deeds.push(deed);
+    this.#log.push(deed);
   }
 }
 
-function breakOff(response: ServerResponse, how: "reset" | "end"): void {
+function closeResponse(response: ServerResponse, how: "reset" | "end"): void {
   if (how === "end") {
     response.end();
   } else {
@@ -319,7 +328,10 @@
   }
 }
 
-async function askMember(address: string, body: string): Promise<boolean> {
+async function isMemberPresent(
+  address: string,
+  body: string,
+): Promise<boolean> {
   try {
     const answer = await call(`http://${address}/work`, {
       method: "POST",
@@ -335,7 +347,7 @@
   }
 }
 
-function eventOf(
+function formatEvent(
   wanted: IEngineCall,
   membership: IMembership,
   token: { readonly sequence: number; readonly text: string },
--- a/src/stand_ins/engine_member/main.ts
+++ b/src/stand_ins/engine_member/main.ts
@@ -1,10 +1,10 @@
 /** The engine member stand-in's own process. */
 import { parseArgs } from "node:util";
 import { InstanceState, ServiceKind } from "../../common/types.ts";
-import { announce, exitOnSignal } from "../shared/program.ts";
+import { announceListening, exitOnSignal } from "../shared/program.ts";
 import { registerInstance } from "../shared/register.ts";
 import { EngineMember } from "./engine_member.ts";
-import { Fencing } from "./types.ts";
+import { FencingMode } from "./types.ts";
 
 const { values } = parseArgs({
   options: {
@@ -13,7 +13,7 @@
     id: { type: "string", default: "engine" },
     zone: { type: "string", default: "zone" },
     domain: { type: "string", default: "domain" },
-    fencing: { type: "string", default: Fencing.Refuse },
+    fencing: { type: "string", default: FencingMode.Refuse },
     "load-time": { type: "string", default: "200" },
     "first-token": { type: "string", default: "10" },
     "token-time": { type: "string", default: "5" },
@@ -27,7 +27,10 @@
 exitOnSignal();
 const member = new EngineMember({
   id: values.id,
-  fencing: values.fencing === Fencing.Ignore ? Fencing.Ignore : Fencing.Refuse,
+  fencing:
+    values.fencing === FencingMode.Ignore
+      ? FencingMode.Ignore
+      : FencingMode.Refuse,
   loadTime: Number(values["load-time"]),
   firstTokenTime: Number(values["first-token"]),
   tokenTime: Number(values["token-time"]),
@@ -48,4 +51,4 @@
     service: "",
   });
 }
-announce({ address });
+announceListening({ address });
--- a/src/stand_ins/engine_member/stream_fault.ts
+++ b/src/stand_ins/engine_member/stream_fault_injector.ts
@@ -8,13 +8,13 @@
   /** The answer ends mid-way, as if it were whole, without its end mark. */
   EndEarly = "end_early",
   /** An event of another request comes in between. */
-  Cross = "cross",
+  ForeignEvent = "cross",
   /** An event comes twice. */
-  Duplicate = "duplicate",
+  DuplicateEvent = "duplicate",
   /** An event is left out. */
-  Gap = "gap",
+  MissingEvent = "gap",
   /** An event that does not parse. */
-  Garble = "garble",
+  MalformedEvent = "garble",
   /** Refuses every new answer, as if leaving, and does not report it. */
   Refuse = "refuse",
   /** As {@link Reset}, for every answer from now on. */
@@ -22,16 +22,16 @@
 }
 
 /** The token of an answer, counted over resumes, that meets the fault. */
-const STRUCK_TOKEN = 5;
+const FAULT_SEQUENCE = 5;
 
 /** An event as it is sent, and whether the answer breaks off after it. */
-export interface IStruckEvent {
+export interface IFaultyEvent {
   readonly text: string;
-  readonly breaks: "no" | "reset" | "end";
+  readonly closing: "no" | "reset" | "end";
 }
 
 /** The fault in force; each but the lasting one is met once. */
-export class StreamFaults {
+export class StreamFaultInjector {
   #fault = StreamFault.None;
 
   /** Whether new answers are refused. */
@@ -47,42 +47,42 @@
   }
 
   /** An event as the fault in force changes it. */
-  strike(event: string, sequence: number, requestId: string): IStruckEvent {
-    if (this.#fault === StreamFault.ResetAlways && sequence >= STRUCK_TOKEN) {
-      return { text: "", breaks: "reset" };
+  apply(event: string, sequence: number, requestId: string): IFaultyEvent {
+    if (this.#fault === StreamFault.ResetAlways && sequence >= FAULT_SEQUENCE) {
+      return { text: "", closing: "reset" };
     }
-    if (this.#fault === StreamFault.None || sequence !== STRUCK_TOKEN) {
-      return { text: event, breaks: "no" };
+    if (this.#fault === StreamFault.None || sequence !== FAULT_SEQUENCE) {
+      return { text: event, closing: "no" };
     }
     const fault = this.#fault;
     this.#fault = fault === StreamFault.ResetAlways ? fault : StreamFault.None;
-    return strikeWith(fault, event, requestId);
+    return applyFault(fault, event, requestId);
   }
 }
 
-function strikeWith(
+function applyFault(
   fault: StreamFault,
   event: string,
   requestId: string,
-): IStruckEvent {
+): IFaultyEvent {
   switch (fault) {
     case StreamFault.Reset:
-      return { text: "", breaks: "reset" };
+      return { text: "", closing: "reset" };
     case StreamFault.EndEarly:
-      return { text: "", breaks: "end" };
-    case StreamFault.Cross: {
+      return { text: "", closing: "end" };
+    case StreamFault.ForeignEvent: {
       const crossed = event
         .replaceAll(requestId, "another-request")
         .replace('"text":"', '"text":"another\'s ');
-      return { text: crossed + event, breaks: "no" };
+      return { text: crossed + event, closing: "no" };
     }
-    case StreamFault.Duplicate:
-      return { text: event + event, breaks: "no" };
-    case StreamFault.Gap:
-      return { text: "", breaks: "no" };
-    case StreamFault.Garble:
-      return { text: `data: {"half\n\n${event}`, breaks: "no" };
+    case StreamFault.DuplicateEvent:
+      return { text: event + event, closing: "no" };
+    case StreamFault.MissingEvent:
+      return { text: "", closing: "no" };
+    case StreamFault.MalformedEvent:
+      return { text: `data: {"half\n\n${event}`, closing: "no" };
     default:
-      return { text: event, breaks: "no" };
+      return { text: event, closing: "no" };
   }
 }
--- a/src/stand_ins/engine_member/types.ts
+++ b/src/stand_ins/engine_member/types.ts
@@ -1,15 +1,15 @@
 /** What an engine member is told, and what it keeps of what it did. */
 
 /** How an engine treats orders that carry an old fencing number. */
-export enum Fencing {
+export enum FencingMode {
   Refuse = "refuse",
   Ignore = "ignore",
 }
 
 /** Options of an engine member; times in milliseconds. */
-export interface IEngineOptions {
+export interface IEngineMemberOptions {
   readonly id: string;
-  readonly fencing: Fencing;
+  readonly fencing: FencingMode;
   /** How long loading a model's weights takes. */
   readonly loadTime: number;
   readonly firstTokenTime: number;
@@ -26,7 +26,7 @@
 }
 
 /** One thing an engine did, kept so that proofs can judge by it. */
-export interface IEngineDeed {
+export interface IEngineLogEntry {
   readonly kind:
     | "joined"
     | "loaded"
--- a/src/stand_ins/fault_proxy/fault_proxy.ts
+++ b/src/stand_ins/fault_proxy/fault_proxy.ts
@@ -1,7 +1,7 @@
 /** A TCP proxy that brings about the failures of a network. */
 import { connect, createServer } from "node:net";
 import type { Server, Socket } from "node:net";
-import { addressOfServer, splitAddress } from "../../adapters/listen.ts";
+import { listenOn, splitAddress } from "../../adapters/listen.ts";
 
 /** What happens to the bytes of a link. */
 export enum LinkMode {
@@ -11,11 +11,11 @@
   /** Connections are accepted, and nothing passes any more. */
   Silent = "silent",
   /** Open connections go silent for good; new ones pass. */
-  SilentOld = "silent_old",
+  SilentExisting = "silent_old",
   /** Requests pass; answers do not. */
-  NoAnswers = "no_answers",
+  DropAnswers = "no_answers",
   /** Answers pass; requests do not. */
-  NoRequests = "no_requests",
+  DropRequests = "no_requests",
   /** The next answer is lost: its connection is reset in its place. */
   LoseAnswer = "lose_answer",
 }
@@ -28,13 +28,13 @@
   LoseAnswer = "lose_answer",
 }
 
-interface IRequestFault {
+interface IPendingFault {
   /** Text of the request, such as `POST /orders`. */
   readonly text: string;
   readonly fault: RequestFault;
 }
 
-interface IPair {
+interface IProxiedConnection {
   readonly client: Socket;
   readonly target: Socket;
   isSilenced: boolean;
@@ -47,10 +47,10 @@
 export class FaultProxy {
   #target: string;
   readonly #server: Server;
-  readonly #pairs = new Set<IPair>();
+  readonly #connections = new Set<IProxiedConnection>();
   #mode = LinkMode.Pass;
   #delay = 0;
-  #nextFault: IRequestFault | null = null;
+  #pendingFault: IPendingFault | null = null;
 
   /** @param target - `host:port` that connections are passed on to */
   constructor(target: string) {
@@ -61,47 +61,47 @@
   }
 
   /** Passes new connections on to another address. */
-  retarget(target: string): void {
+  setTarget(target: string): void {
     this.#target = target;
   }
 
   listen(address: string): Promise<string> {
-    return addressOfServer(this.#server, address);
+    return listenOn(this.#server, address);
   }
 
   /** @param delay - milliseconds added in each direction */
   setMode(mode: LinkMode, delay = 0): void {
     this.#delay = delay;
     this.#mode = mode;
-    if (mode === LinkMode.SilentOld) {
-      this.#pairs.forEach((pair) => {
+    if (mode === LinkMode.SilentExisting) {
+      this.#connections.forEach((pair) => {
         pair.isSilenced = true;
       });
       this.#mode = LinkMode.Pass;
     }
     if (mode === LinkMode.Cut) {
-      this.#pairs.forEach(reset);
+      this.#connections.forEach(reset);
     }
   }
 
   /** Brings a fault about at the next request that contains a text. */
   failNext(text: string, fault: RequestFault): void {
-    this.#nextFault = { text, fault };
+    this.#pendingFault = { text, fault };
   }
 
   /** Takes back a fault that has not come about yet. */
-  clearFault(): void {
-    this.#nextFault = null;
+  clearPendingFault(): void {
+    this.#pendingFault = null;
   }
 
   /** Whether a fault asked for has not come about yet. */
-  get isFaultDue(): boolean {
-    return this.#nextFault !== null;
+  get hasPendingFault(): boolean {
+    return this.#pendingFault !== null;
   }
 
   /** Passes on what was kept back, late as it is; its answer may be lost. */
-  release(options: { readonly losesAnswer?: boolean } = {}): void {
-    for (const pair of this.#pairs) {
+  releaseHeld(options: { readonly losesAnswer?: boolean } = {}): void {
+    for (const pair of this.#connections) {
       if (pair.held !== null) {
         pair.held.forEach((bytes) => pair.target.write(bytes));
         pair.held = null;
@@ -111,12 +111,12 @@
   }
 
   /** Connections open through this link. */
-  get connections(): number {
-    return this.#pairs.size;
+  get connectionCount(): number {
+    return this.#connections.size;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.#pairs.forEach(reset);
+    this.#connections.forEach(reset);
     this.#server.close();
   }
 
@@ -127,16 +127,16 @@
     }
     const { host, port } = splitAddress(this.#target);
     const target = connect({ host, port, allowHalfOpen: true });
-    const pair: IPair = {
+    const pair: IProxiedConnection = {
       client,
       target,
       isSilenced: false,
       held: null,
       losesAnswer: false,
     };
-    this.#pairs.add(pair);
-    client.on("data", (bytes) => this.#toTarget(pair, bytes));
-    target.on("data", (bytes) => this.#toClient(pair, bytes));
+    this.#connections.add(pair);
+    client.on("data", (bytes) => this.#forwardToTarget(pair, bytes));
+    target.on("data", (bytes) => this.#forwardToClient(pair, bytes));
     client.on("end", () => {
       if (pair.held === null && !this.#isSilent(pair)) {
         target.end();
@@ -148,28 +148,28 @@
       }
     });
     for (const socket of [client, target]) {
-      socket.on("error", () => this.#closed(pair));
-      socket.on("close", () => this.#closed(pair));
+      socket.on("error", () => this.#handleClose(pair));
+      socket.on("close", () => this.#handleClose(pair));
     }
   }
 
-  #toTarget(pair: IPair, bytes: Buffer): void {
-    this.#startFault(pair, bytes);
+  #forwardToTarget(pair: IProxiedConnection, bytes: Buffer): void {
+    this.#triggerFault(pair, bytes);
     if (pair.held !== null) {
       pair.held.push(bytes);
       return;
     }
-    if (!this.#isSilent(pair) && this.#mode !== LinkMode.NoRequests) {
-      this.#later(() => pair.target.write(bytes));
+    if (!this.#isSilent(pair) && this.#mode !== LinkMode.DropRequests) {
+      this.#sendDelayed(() => pair.target.write(bytes));
     }
   }
 
-  #startFault(pair: IPair, bytes: Buffer): void {
-    const next = this.#nextFault;
+  #triggerFault(pair: IProxiedConnection, bytes: Buffer): void {
+    const next = this.#pendingFault;
     if (next === null || !bytes.includes(next.text)) {
       return;
     }
-    this.#nextFault = null;
+    this.#pendingFault = null;
     if (next.fault === RequestFault.Hold) {
       pair.held = [];
     } else {
@@ -177,7 +177,7 @@
     }
   }
 
-  #toClient(pair: IPair, bytes: Buffer): void {
+  #forwardToClient(pair: IProxiedConnection, bytes: Buffer): void {
     if (pair.losesAnswer) {
       reset(pair);
       return;
@@ -187,16 +187,16 @@
       reset(pair);
       return;
     }
-    if (!this.#isSilent(pair) && this.#mode !== LinkMode.NoAnswers) {
-      this.#later(() => pair.client.write(bytes));
+    if (!this.#isSilent(pair) && this.#mode !== LinkMode.DropAnswers) {
+      this.#sendDelayed(() => pair.client.write(bytes));
     }
   }
 
-  #isSilent(pair: IPair): boolean {
+  #isSilent(pair: IProxiedConnection): boolean {
     return pair.isSilenced || this.#mode === LinkMode.Silent;
   }
 
-  #later(send: () => void): void {
+  #sendDelayed(send: () => void): void {
     if (this.#delay === 0) {
       send();
     } else {
@@ -204,18 +204,18 @@
     }
   }
 
-  #closed(pair: IPair): void {
+  #handleClose(pair: IProxiedConnection): void {
     if (pair.held !== null) {
       return;
     }
-    this.#pairs.delete(pair);
+    this.#connections.delete(pair);
     if (!this.#isSilent(pair)) {
       reset(pair);
     }
   }
 }
 
-function reset(pair: IPair): void {
+function reset(pair: IProxiedConnection): void {
   pair.client.resetAndDestroy();
   pair.target.resetAndDestroy();
 }
--- a/src/stand_ins/fault_proxy/main.ts
+++ b/src/stand_ins/fault_proxy/main.ts
@@ -1,8 +1,8 @@
 /** The fault proxy's own process: links are made and changed over HTTP. */
 import { parseArgs } from "node:util";
-import { JsonServer, ok, refuse } from "../shared/json_server.ts";
+import { JsonServer, okAnswer, errorAnswer } from "../shared/json_server.ts";
 import type { IJsonAnswer, IJsonRequest } from "../shared/json_server.ts";
-import { announce, exitOnSignal } from "../shared/program.ts";
+import { announceListening, exitOnSignal } from "../shared/program.ts";
 import { FaultProxy, LinkMode } from "./fault_proxy.ts";
 
 const { values } = parseArgs({
@@ -19,17 +19,17 @@
     const link = new FaultProxy(String(body?.target));
     const address = await link.listen("127.0.0.1:0");
     links.set(address, link);
-    return ok({ address });
+    return okAnswer({ address });
   }
   const link = links.get(name ?? "");
   const mode = Object.values(LinkMode).find((known) => known === body?.mode);
   if (link === undefined || mode === undefined) {
-    return refuse(404, "no such link or mode");
+    return errorAnswer(404, "no such link or mode");
   }
   link.setMode(mode, Number(body?.delay ?? 0));
-  return ok({ connections: link.connections });
+  return okAnswer({ connections: link.connectionCount });
 }
 
 exitOnSignal();
 const server = new JsonServer(handle);
-announce({ address: await server.listen(values.listen) });
+announceListening({ address: await server.listen(values.listen) });
--- a/src/stand_ins/object_api/main.ts
+++ b/src/stand_ins/object_api/main.ts
@@ -1,6 +1,6 @@
 /** The object API stand-in's own process. */
 import { parseArgs } from "node:util";
-import { announce, exitOnSignal } from "../shared/program.ts";
+import { announceListening, exitOnSignal } from "../shared/program.ts";
 import { ObjectApiServer } from "./object_api_server.ts";
 
 const { values } = parseArgs({
@@ -13,4 +13,4 @@
 exitOnSignal();
 const instanceLag = Number(values["instance-lag"]);
 const server = new ObjectApiServer({ instanceLag });
-announce({ address: await server.listen(values.listen) });
+announceListening({ address: await server.listen(values.listen) });
--- a/src/stand_ins/object_api/object_api_server.ts
+++ b/src/stand_ins/object_api/object_api_server.ts
@@ -1,7 +1,7 @@
 /** The platform's object API and instance list, as a stand-in. */
 import type { IPlatformObject } from "../../common/services/services.ts";
 import type { IInstance } from "../../common/types.ts";
-import { JsonServer, ok, refuse } from "../shared/json_server.ts";
+import { JsonServer, okAnswer, errorAnswer } from "../shared/json_server.ts";
 import type { IJsonAnswer, IJsonRequest } from "../shared/json_server.ts";
 import { MAXIMUM_VALUE_BYTES, ObjectStore } from "./object_store.ts";
 import type { WriteResult } from "./object_store.ts";
@@ -13,7 +13,7 @@
 const STATUS_CONFLICT = 412;
 const STATUS_TOO_LARGE = 413;
 const STATUS_TOO_MANY = 429;
-const LONGEST_WATCH = 60_000;
+const MAXIMUM_WATCH = 60_000;
 
 /** Calls taken so far, by kind of call and of object. */
 export type CallCounts = Readonly<Record<string, number>>;
@@ -29,8 +29,8 @@
   readonly #options: IObjectApiOptions;
   readonly #store = new ObjectStore();
   readonly #instances = new Map<string, IInstance>();
-  #listed: readonly IInstance[] = [];
-  #listing = 0;
+  #publishedInstances: readonly IInstance[] = [];
+  #publishedVersion = 0;
   readonly #counts = new Map<string, number>();
   readonly #faults = new PlatformFaults();
   readonly #server = new JsonServer((request) => this.#handle(request));
@@ -52,67 +52,76 @@
     switch (area) {
       case "objects":
       case "watch":
-        return this.#objectCall(request, kind);
+        return this.#handleObjectCall(request, kind);
       case "instances":
         this.#count(`${request.method} instances`, 1);
-        return this.#instanceCall(request, kind);
+        return this.#handleInstanceCall(request, kind);
       case "counts":
-        return ok(Object.fromEntries(this.#counts));
+        return okAnswer(Object.fromEntries(this.#counts));
       case "control":
-        return this.#control(request.body as IFaultControl);
+        return this.#handleControl(request.body as IFaultControl);
       default:
-        return refuse(STATUS_NOT_FOUND, "no such path");
+        return errorAnswer(STATUS_NOT_FOUND, "no such path");
     }
   }
 
-  #control(control: IFaultControl): IJsonAnswer {
+  #handleControl(control: IFaultControl): IJsonAnswer {
     this.#faults.apply(control);
     if (control.restore !== undefined) {
       this.#store.restore(control.restore);
     }
-    return ok({ version: this.#store.version });
+    return okAnswer({ version: this.#store.version });
   }
 
-  async #objectCall(request: IJsonRequest, kind: string): Promise<IJsonAnswer> {
+  async #handleObjectCall(
+    request: IJsonRequest,
+    kind: string,
+  ): Promise<IJsonAnswer> {
     const [area, , name] = request.parts;
     this.#count(`${request.method} ${area} ${kind}`, 1);
     if (this.#faults.isOverRate(Date.now())) {
-      return refuse(STATUS_TOO_MANY, "too many calls");
+      return errorAnswer(STATUS_TOO_MANY, "too many calls");
     }
-    await this.#faults.slowDown();
+    await this.#faults.waitDelay();
     if (area === "watch") {
       return this.#watch(request, kind);
     }
     return name === undefined
       ? this.#list(kind)
-      : this.#object(request, kind, name);
+      : this.#handleObject(request, kind, name);
   }
 
   #list(kind: string): IJsonAnswer {
     const asOf = this.#faults.staleVersion(kind);
     const objects = this.#store.changedAfter(kind, -1, asOf);
-    return ok({ version: asOf ?? this.#store.version, objects });
+    return okAnswer({ version: asOf ?? this.#store.version, objects });
   }
 
-  #object(request: IJsonRequest, kind: string, name: string): IJsonAnswer {
+  #handleObject(
+    request: IJsonRequest,
+    kind: string,
+    name: string,
+  ): IJsonAnswer {
     const expected = expectedVersion(request);
     switch (request.method) {
       case "GET": {
         const asOf = this.#faults.staleVersion(kind);
         const object = this.#store.read(kind, name, asOf);
-        return object ? ok(object) : refuse(STATUS_NOT_FOUND, "no such object");
+        return object
+          ? okAnswer(object)
+          : errorAnswer(STATUS_NOT_FOUND, "no such object");
       }
       case "PUT": {
         const value = request.body;
         if (JSON.stringify(value).length > MAXIMUM_VALUE_BYTES) {
-          return refuse(STATUS_TOO_LARGE, "value too large");
+          return errorAnswer(STATUS_TOO_LARGE, "value too large");
         }
-        return answerWrite(this.#store.write({ kind, name, value }, expected));
+        return writeAnswer(this.#store.write({ kind, name, value }, expected));
       }
       case "DELETE":
-        return answerWrite(this.#store.remove(kind, name, expected ?? -1));
+        return writeAnswer(this.#store.remove(kind, name, expected ?? -1));
       default:
-        return refuse(STATUS_NOT_FOUND, "no such method");
+        return errorAnswer(STATUS_NOT_FOUND, "no such method");
     }
   }
 
@@ -129,53 +138,53 @@
   ): Promise<IJsonAnswer> {
     const after = Number(request.query.get("after") ?? 0);
     const asked = Number(request.query.get("timeout_ms") ?? 0);
-    const until = Date.now() + Math.min(asked, LONGEST_WATCH);
+    const until = Date.now() + Math.min(asked, MAXIMUM_WATCH);
     let objects = this.#changes(kind, after);
     while (objects.length === 0 && Date.now() < until) {
       await this.#store.waitForWrite(until - Date.now());
       objects = this.#changes(kind, after);
     }
     const version = Math.max(after, ...objects.map((object) => object.version));
-    return ok({ version, objects });
+    return okAnswer({ version, objects });
   }
 
   /** Changes after a version; with late events the older state comes last. */
   #changes(kind: string, after: number): readonly IPlatformObject[] {
     const asOf = this.#faults.staleVersion(kind);
     const objects = this.#store.changedAfter(kind, after, asOf);
-    if (!this.#faults.hasLateEvents(kind)) {
+    if (!this.#faults.sendsLateEvents(kind)) {
       return objects;
     }
     const late = objects.flatMap(({ name }) => {
-      const previous = this.#store.previous(kind, name);
+      const previous = this.#store.stateBeforeLastChange(kind, name);
       return previous ? [previous] : [];
     });
     return [...objects, ...late];
   }
 
   /** Answers with the list; without a body if the asker holds it. */
-  #instanceCall(request: IJsonRequest, id: string): IJsonAnswer | null {
+  #handleInstanceCall(request: IJsonRequest, id: string): IJsonAnswer | null {
     if (request.method === "PUT") {
       this.#instances.set(id, request.body as IInstance);
-      this.#publishLater();
+      this.#schedulePublication();
     } else if (request.method === "DELETE") {
       this.#instances.delete(id);
-      this.#publishLater();
+      this.#schedulePublication();
     }
-    const tag = `"${this.#listing}"`;
+    const tag = `"${this.#publishedVersion}"`;
     request.response.setHeader("etag", tag);
     if (request.headers["if-none-match"] === tag) {
       request.response.writeHead(STATUS_NOT_MODIFIED).end();
       return null;
     }
-    return ok({ instances: this.#listed });
+    return okAnswer({ instances: this.#publishedInstances });
   }
 
-  #publishLater(): void {
+  #schedulePublication(): void {
     const now = [...this.#instances.values()];
     setTimeout(() => {
-      this.#listed = now;
-      this.#listing += 1;
+      this.#publishedInstances = now;
+      this.#publishedVersion += 1;
     }, this.#options.instanceLag);
   }
 
@@ -189,7 +198,7 @@
   return match === undefined ? null : Number(match);
 }
 
-function answerWrite(result: WriteResult): IJsonAnswer {
+function writeAnswer(result: WriteResult): IJsonAnswer {
   const { version } = result;
   const status = result.kind === "written" ? 200 : STATUS_CONFLICT;
   return { status, body: { version } };
--- a/src/stand_ins/object_api/object_store.ts
+++ b/src/stand_ins/object_api/object_store.ts
@@ -28,7 +28,7 @@
   }
 
   read(kind: string, name: string, asOf?: number): IPlatformObject | null {
-    return this.#state(asOf).get(keyOf(kind, name)) ?? null;
+    return this.#stateAt(asOf).get(keyOf(kind, name)) ?? null;
   }
 
   /**
@@ -41,7 +41,7 @@
     after: number,
     asOf?: number,
   ): readonly IPlatformObject[] {
-    return [...this.#state(asOf).values()]
+    return [...this.#stateAt(asOf).values()]
       .filter((object) => object.kind === kind && object.version > after)
       .sort((left, right) => left.version - right.version);
   }
@@ -58,7 +58,7 @@
     }
     this.#version += 1;
     const version = this.#version;
-    this.#change(keyOf(kind, name), { ...object, version });
+    this.#recordChange(keyOf(kind, name), { ...object, version });
     return { kind: "written", version };
   }
 
@@ -68,20 +68,20 @@
       return { kind: "conflict", version: current };
     }
     this.#version += 1;
-    this.#change(keyOf(kind, name), null);
+    this.#recordChange(keyOf(kind, name), null);
     return { kind: "written", version: this.#version };
   }
 
   /** Goes back to what was at a version, as a restore from a copy does. */
   restore(version: number): void {
-    this.#objects = new Map(this.#state(version));
+    this.#objects = new Map(this.#stateAt(version));
     this.#history = this.#history.filter((change) => change.version <= version);
     this.#version = version;
-    this.#wake();
+    this.#notifyWaiting();
   }
 
   /** The version of an object before its last change, or null. */
-  previous(kind: string, name: string): IPlatformObject | null {
+  stateBeforeLastChange(kind: string, name: string): IPlatformObject | null {
     const key = keyOf(kind, name);
     const changes = this.#history.filter((change) => change.key === key);
     return changes.at(-2)?.object ?? null;
@@ -100,7 +100,7 @@
     });
   }
 
-  #state(asOf?: number): ReadonlyMap<string, IPlatformObject> {
+  #stateAt(asOf?: number): ReadonlyMap<string, IPlatformObject> {
     if (asOf === undefined) {
       return this.#objects;
     }
@@ -115,17 +115,17 @@
     return state;
   }
 
-  #change(key: string, object: IPlatformObject | null): void {
+  #recordChange(key: string, object: IPlatformObject | null): void {
     if (object === null) {
       this.#objects.delete(key);
     } else {
       this.#objects.set(key, object);
     }
     this.#history.push({ version: this.#version, key, object });
-    this.#wake();
+    this.#notifyWaiting();
   }
 
-  #wake(): void {
+  #notifyWaiting(): void {
     for (const done of [...this.#waiting]) {
       done();
     }
--- a/src/stand_ins/object_api/platform_faults.ts
+++ b/src/stand_ins/object_api/platform_faults.ts
@@ -14,7 +14,7 @@
   readonly restore?: number;
 }
 
-const WINDOW = 1_000;
+const RATE_WINDOW = 1_000;
 
 /** Which faults are on, and the calls that count toward the rate. */
 export class PlatformFaults {
@@ -43,13 +43,13 @@
     return this.#stale.get(kind);
   }
 
-  hasLateEvents(kind: string): boolean {
+  sendsLateEvents(kind: string): boolean {
     return this.#lateEvents.includes(kind);
   }
 
   /** Counts a call; true when it is over the rate and must be refused. */
   isOverRate(now: number): boolean {
-    if (now - this.#windowStart >= WINDOW) {
+    if (now - this.#windowStart >= RATE_WINDOW) {
       this.#windowStart = now;
       this.#callsInWindow = 0;
     }
@@ -59,7 +59,7 @@
   }
 
   /** Resolves after the time by which answers are slowed. */
-  async slowDown(): Promise<void> {
+  async waitDelay(): Promise<void> {
     if (this.#delay > 0) {
       await new Promise((resolve) => setTimeout(resolve, this.#delay));
     }
--- a/src/stand_ins/plain_service/call_fault.ts
+++ b/src/stand_ins/plain_service/call_fault_injector.ts
@@ -4,39 +4,39 @@
 export enum CallFault {
   None = "none",
   /** Waits before acting, until another fault is set. */
-  PauseBefore = "pause_before",
+  PauseBeforeRun = "pause_before",
   /** Acts, then waits before answering, until another fault is set. */
-  PauseAfter = "pause_after",
+  PauseAfterRun = "pause_after",
   /** The process dies before acting. */
-  DieBefore = "die_before",
+  CrashBeforeRun = "die_before",
   /** The process dies after acting, before answering. */
-  DieAfter = "die_after",
+  CrashAfterRun = "die_after",
   /** Acts, and its connection breaks in place of the answer. */
   LoseAnswer = "lose_answer",
   /** Answers with another request's id. */
-  CrossAnswer = "cross_answer",
+  ForeignAnswer = "cross_answer",
   /** Answers as leaving, without acting and without reporting it. */
   Refuse = "refuse",
 }
 
 /** Where in a call a fault is met. */
 export enum CallPoint {
-  BeforeActing = "before",
-  AfterActing = "after",
+  BeforeRun = "before",
+  AfterRun = "after",
 }
 
 const PAUSES: Readonly<Record<CallPoint, CallFault>> = {
-  [CallPoint.BeforeActing]: CallFault.PauseBefore,
-  [CallPoint.AfterActing]: CallFault.PauseAfter,
+  [CallPoint.BeforeRun]: CallFault.PauseBeforeRun,
+  [CallPoint.AfterRun]: CallFault.PauseAfterRun,
 };
 
-const DEATHS: Readonly<Record<CallPoint, CallFault>> = {
-  [CallPoint.BeforeActing]: CallFault.DieBefore,
-  [CallPoint.AfterActing]: CallFault.DieAfter,
+const CRASHES: Readonly<Record<CallPoint, CallFault>> = {
+  [CallPoint.BeforeRun]: CallFault.CrashBeforeRun,
+  [CallPoint.AfterRun]: CallFault.CrashAfterRun,
 };
 
 /** The fault in force, and the calls that wait in it. */
-export class CallFaults {
+export class CallFaultInjector {
   #fault = CallFault.None;
   readonly #waiting = new Set<() => void>();
 
@@ -45,7 +45,7 @@
   }
 
   /** Calls held at a pause. */
-  get paused(): number {
+  get pausedCalls(): number {
     return this.#waiting.size;
   }
 
@@ -61,8 +61,8 @@
   }
 
   /** Meets the fault in force at a point of a call, if it is one for there. */
-  async meet(point: CallPoint): Promise<void> {
-    if (this.#fault === DEATHS[point]) {
+  async applyAt(point: CallPoint): Promise<void> {
+    if (this.#fault === CRASHES[point]) {
       process.kill(process.pid, "SIGKILL");
     }
     if (this.#fault === PAUSES[point]) {
--- a/src/stand_ins/plain_service/main.ts
+++ b/src/stand_ins/plain_service/main.ts
@@ -1,7 +1,7 @@
 /** The plain service stand-in's own process. */
 import { parseArgs } from "node:util";
 import { InstanceState, ServiceKind } from "../../common/types.ts";
-import { announce, exitOnSignal } from "../shared/program.ts";
+import { announceListening, exitOnSignal } from "../shared/program.ts";
 import { registerInstance } from "../shared/register.ts";
 import { PlainService } from "./plain_service.ts";
 
@@ -36,4 +36,4 @@
     service: values.service,
   });
 }
-announce({ address });
+announceListening({ address });
--- a/src/stand_ins/plain_service/plain_service.ts
+++ b/src/stand_ins/plain_service/plain_service.ts
@@ -5,10 +5,14 @@
 import { TargetState } from "../../common/types.ts";
 import type { ITargetReport } from "../../common/types.ts";
 import { requestIdOf } from "../../adapters/targets/wire_id.ts";
-import { JsonServer, ok, refuse } from "../shared/json_server.ts";
+import { JsonServer, okAnswer, errorAnswer } from "../shared/json_server.ts";
 import type { IJsonAnswer, IJsonRequest } from "../shared/json_server.ts";
 import { RunLog } from "./run_log.ts";
-import { CallFault, CallFaults, CallPoint } from "./call_fault.ts";
+import {
+  CallFault,
+  CallFaultInjector,
+  CallPoint,
+} from "./call_fault_injector.ts";
 
 const STATUS_NOT_FOUND = 404;
 const STATUS_UNAVAILABLE = 503;
@@ -21,7 +25,7 @@
   readonly recordFile?: string;
 }
 
-interface IWantedRun {
+interface ICallBody {
   readonly requestId: string;
   readonly operation: string;
   readonly body: unknown;
@@ -31,15 +35,15 @@
 export class PlainService {
   readonly #options: IPlainServiceOptions;
   readonly #incarnation = randomUUID();
-  readonly #runs: RunLog;
+  readonly #runLog: RunLog;
   readonly #server = new JsonServer((request) => this.#handle(request));
-  readonly #faults = new CallFaults();
+  readonly #faults = new CallFaultInjector();
   #state = TargetState.Ready;
   #running = 0;
 
   constructor(options: IPlainServiceOptions) {
     this.#options = options;
-    this.#runs = new RunLog(options.recordFile ?? "");
+    this.#runLog = new RunLog(options.recordFile ?? "");
   }
 
   listen(address: string): Promise<string> {
@@ -53,35 +57,38 @@
   #handle(request: IJsonRequest): Promise<IJsonAnswer | null> | IJsonAnswer {
     switch (request.parts[0]) {
       case "report":
-        return ok(this.#report());
+        return okAnswer(this.#report());
       case "call":
-        return this.#call(request.body as IWantedRun, request.response);
+        return this.#handleCall(request.body as ICallBody, request.response);
       case "fault":
         this.#faults.set((request.body as { fault?: unknown }).fault);
-        return ok({});
+        return okAnswer({});
       case "leave":
         this.#state = TargetState.Leaving;
-        return ok({});
+        return okAnswer({});
       case "record":
-        return ok({ runs: this.#runs.all, paused: this.#faults.paused });
+        return okAnswer({
+          runs: this.#runLog.entries,
+          paused: this.#faults.pausedCalls,
+        });
       default:
-        return refuse(STATUS_NOT_FOUND, "no such path");
+        return errorAnswer(STATUS_NOT_FOUND, "no such path");
     }
   }
 
-  async #call(
-    wanted: IWantedRun,
+  async #handleCall(
+    wanted: ICallBody,
     response: ServerResponse,
   ): Promise<IJsonAnswer | null> {
     const isRefusing = this.#faults.fault === CallFault.Refuse;
     if (this.#state === TargetState.Leaving || isRefusing) {
-      return refuse(STATUS_UNAVAILABLE, "leaving");
+      return errorAnswer(STATUS_UNAVAILABLE, "leaving");
     }
     this.#running += 1;
-    await this.#faults.meet(CallPoint.BeforeActing);
+    await this.#faults.applyAt(CallPoint.BeforeRun);
     await sleep(this.#options.workTime);
-    const number = this.#act(wanted);
-    await this.#faults.meet(CallPoint.AfterActing);
+    const number = this.#run(wanted);
+    await this.#faults.applyAt(CallPoint.AfterRun);
     this.#running -= 1;
     if (this.#faults.fault === CallFault.LoseAnswer) {
       response.destroy();
@@ -89,16 +96,19 @@
     }
     const { requestId, operation, body } = wanted;
     const answer = { operation, done: true, by: this.#options.id, number };
-    const isCrossed = this.#faults.fault === CallFault.CrossAnswer;
+    const isCrossed = this.#faults.fault === CallFault.ForeignAnswer;
     const named = isCrossed ? randomUUID() : requestId;
-    return ok({ requestId: named, answer: { ...answer, ...paddingOf(body) } });
+    return okAnswer({
+      requestId: named,
+      answer: { ...answer, ...paddingOf(body) },
+    });
   }
 
   /** Runs the call; returns how many have run. */
-  #act({ requestId, operation, body }: IWantedRun): number {
+  #run({ requestId, operation, body }: ICallBody): number {
     const caller = requestIdOf(requestId);
-    this.#runs.add({ requestId: caller, operation, body, at: Date.now() });
-    return this.#runs.all.length;
+    this.#runLog.append({ requestId: caller, operation, body, at: Date.now() });
+    return this.#runLog.entries.length;
   }
 
   #report(): ITargetReport {
--- a/src/stand_ins/plain_service/run_log.ts
+++ b/src/stand_ins/plain_service/run_log.ts
@@ -2,7 +2,7 @@
 import { appendFileSync, existsSync, readFileSync } from "node:fs";
 
 /** One run. */
-export interface IRunDeed {
+export interface IRunLogEntry {
   readonly requestId: string;
   readonly operation: string;
   readonly body: unknown;
@@ -12,24 +12,24 @@
 /** The runs so far; with a file, also those of earlier processes. */
 export class RunLog {
   readonly #file: string;
-  readonly #runs: IRunDeed[] = [];
+  readonly #entries: IRunLogEntry[] = [];
 
   /** @param file - path to keep runs in, a line each; empty for none */
   constructor(file: string) {
     this.#file = file;
     if (file !== "" && existsSync(file)) {
       const lines = readFileSync(file, "utf8").split("\n").filter(Boolean);
-      this.#runs = lines.map((line) => JSON.parse(line) as IRunDeed);
+      this.#entries = lines.map((line) => JSON.parse(line) as IRunLogEntry);
     }
   }
 
-  get all(): readonly IRunDeed[] {
-    return this.#runs;
+  get entries(): readonly IRunLogEntry[] {
+    return this.#entries;
   }
 
   /** Keeps a run before anything else can happen to the process. */
-  add(run: IRunDeed): void {
-    this.#runs.push(run);
+  append(run: IRunLogEntry): void {
+    this.#entries.push(run);
     if (this.#file !== "") {
       appendFileSync(this.#file, `${JSON.stringify(run)}\n`);
     }
--- a/src/stand_ins/shared/json_server.ts
+++ b/src/stand_ins/shared/json_server.ts
@@ -1,7 +1,7 @@
 /** A small JSON-over-HTTP server for the stand-ins. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
-import { addressOfServer } from "../../adapters/listen.ts";
+import { listenOn } from "../../adapters/listen.ts";
 import { readBody } from "../../adapters/callers/read_body.ts";
 
 /** Larger than the platform's bound, so that the stand-in checks it itself. */
@@ -43,7 +43,7 @@
 
   /** Listens on `host:port` and returns the address taken. */
   listen(address: string): Promise<string> {
-    return addressOfServer(this.#server, address);
+    return listenOn(this.#server, address);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -76,11 +76,11 @@
 }
 
 /** A 200 answer. */
-export function ok(body: unknown): IJsonAnswer {
+export function okAnswer(body: unknown): IJsonAnswer {
   return { status: 200, body };
 }
 
 /** An answer that nothing was done. */
-export function refuse(status: number, error: string): IJsonAnswer {
+export function errorAnswer(status: number, error: string): IJsonAnswer {
   return { status, body: { error } };
 }
--- a/src/stand_ins/shared/program.ts
+++ b/src/stand_ins/shared/program.ts
@@ -1,7 +1,9 @@
 /** What the stand-ins' mains share: saying where they listen, and stopping. */
 
 /** Writes the line that whoever started the program waits for. */
-export function announce(fields: Readonly<Record<string, string>>): void {
+export function announceListening(
+  fields: Readonly<Record<string, string>>,
+): void {
   const pairs = Object.entries(fields).map(([key, value]) => `${key}=${value}`);
   process.stdout.write(`event=listening ${pairs.join(" ")}\n`);
 }
--- a/test/at_most_once_test.ts
+++ b/test/at_most_once_test.ts
@@ -5,13 +5,13 @@
  */
 import { expect } from "chai";
 import { request } from "undici";
-import { locationOf } from "../src/common/runs/run_location.ts";
+import { runRecordLocation } from "../src/common/runs/run_record_location.ts";
 import {
   LinkMode,
   RequestFault,
 } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
-import { CallFault } from "../src/stand_ins/plain_service/call_fault.ts";
-import { ask } from "./support/caller.ts";
+import { CallFault } from "../src/stand_ins/plain_service/call_fault_injector.ts";
+import { sendCall } from "./support/caller.ts";
 import type { IReply } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import { waitFor } from "./support/process_handle.ts";
@@ -67,8 +67,8 @@
   /** How often the call with this test's key has run anywhere. */
   async function runs(): Promise<number> {
     let count = 0;
-    for (const service of deployment.names("service-")) {
-      const record = await deployment.record<IServiceRecord>(service);
+    for (const service of deployment.processNames("service-")) {
+      const record = await deployment.fetchRecord<IServiceRecord>(service);
       count += record.runs.filter(({ body }) => body.item === key).length;
     }
     return count;
@@ -79,8 +79,8 @@
     more: { signal?: AbortSignal; pad?: number; other?: boolean } = {},
   ): Promise<Reply> {
     const body = { item: key, pad: more.pad, other: more.other };
-    const reply = await ask({
-      address: deployment.process(`daemon-${zone}-0`).field("callers"),
+    const reply = await sendCall({
+      address: deployment.process(`daemon-${zone}-0`).listeningField("callers"),
       credential: "subscriber-app-secret",
       operation: "delivery-api/publish",
       body,
@@ -99,10 +99,10 @@
   }
 
   async function bothServe(): Promise<void> {
-    for (const daemon of deployment.names("daemon-")) {
+    for (const daemon of deployment.processNames("daemon-")) {
       await waitFor(`${daemon} reads the feed`, async () => {
-        const reply = await ask({
-          address: deployment.process(daemon).field("callers"),
+        const reply = await sendCall({
+          address: deployment.process(daemon).listeningField("callers"),
           credential: "subscriber-app-secret",
           operation: "delivery-api/feed",
           body: {},
@@ -114,7 +114,11 @@
 
   async function recordStands(): Promise<boolean> {
     const operation = "delivery-api/publish";
-    const { kind, name } = locationOf({ account: ACCOUNT, operation, key });
+    const { kind, name } = runRecordLocation({
+      account: ACCOUNT,
+      operation,
+      key,
+    });
     const path = `/objects/${kind}/${encodeURIComponent(name)}`;
     const answer = await request(`http://${deployment.platformAddress}${path}`);
     await answer.body.dump();
@@ -123,7 +127,8 @@
 
   function pausedAtService(): Promise<void> {
     return waitFor("a call waits at the service", async () => {
-      const { paused } = await deployment.record<IServiceRecord>(SERVICE_A);
+      const { paused } =
+        await deployment.fetchRecord<IServiceRecord>(SERVICE_A);
       return paused === 1;
     });
   }
@@ -134,12 +139,15 @@
     const link = deployment.link(LINK_A);
     link.failNext(RECORD_WRITE, RequestFault.Hold);
     const first = publishCutOff();
-    await waitFor("the record's write is under way", () => !link.isFaultDue);
+    await waitFor(
+      "the record's write is under way",
+      () => !link.hasPendingFault,
+    );
     await deployment.kill(DAEMON_A);
     expect(await first).to.equal("cut off");
     const second = await publish(ZONE_B);
     expect(second.outcome).to.equal("completed");
-    link.release();
+    link.releaseHeld();
     expect((await publish(ZONE_B)).answer).to.deep.equal(second.answer);
     expect(await runs()).to.equal(1);
   });
@@ -147,7 +155,7 @@
   // The platform has taken the record, and the daemon dies before it calls
   // the service: nobody can tell any more whether it had called.
   it("does not run again if the daemon dies after the record", async () => {
-    deployment.link(LINK_A).setMode(LinkMode.NoAnswers);
+    deployment.link(LINK_A).setMode(LinkMode.DropAnswers);
     const first = publishCutOff();
     await waitFor("the record stands", recordStands);
     await deployment.kill(DAEMON_A);
@@ -159,7 +167,7 @@
   // The daemon dies while the service works on the call; the work goes on
   // with nobody to hear of it.
   it("does not run again if the daemon dies while it runs", async () => {
-    await deployment.setFault(SERVICE_A, CallFault.PauseBefore);
+    await deployment.setFault(SERVICE_A, CallFault.PauseBeforeRun);
     const first = publishCutOff();
     await pausedAtService();
     await deployment.kill(DAEMON_A);
@@ -174,17 +182,17 @@
   // The service has answered, and the daemon dies before it has recorded how
   // the call ended.
   it("does not run again if the daemon dies before the finish", async () => {
-    await deployment.setFault(SERVICE_A, CallFault.PauseAfter);
+    await deployment.setFault(SERVICE_A, CallFault.PauseAfterRun);
     const first = publishCutOff();
     await pausedAtService();
     const link = deployment.link(LINK_A);
     link.failNext(RECORD_WRITE, RequestFault.Hold);
     await deployment.setFault(SERVICE_A, CallFault.None);
-    await waitFor("the finish is under way", () => !link.isFaultDue);
+    await waitFor("the finish is under way", () => !link.hasPendingFault);
     await deployment.kill(DAEMON_A);
     expect(await first).to.equal("cut off");
     expect((await publish(ZONE_B)).outcome).to.equal("unknown");
-    link.release();
+    link.releaseHeld();
     await waitFor("the late finish counts", async () => {
       return (await publish(ZONE_B)).outcome === "completed";
     });
@@ -206,7 +214,7 @@
   // read it back. The caller is told "not run" and comes back: its key must
   // not stay blocked by a record that nobody runs.
   it("frees the key of a try that it answered as not run", async () => {
-    deployment.link(LINK_A).setMode(LinkMode.NoAnswers);
+    deployment.link(LINK_A).setMode(LinkMode.DropAnswers);
     const first = await publish(ZONE_A);
     expect(first.outcome).to.equal("not_run");
     expect(await recordStands()).to.equal(true);
@@ -223,10 +231,13 @@
     const link = deployment.link(LINK_A);
     link.failNext(RECORD_WRITE, RequestFault.Hold);
     const first = publish(ZONE_A);
-    await waitFor("the record's write is under way", () => !link.isFaultDue);
+    await waitFor(
+      "the record's write is under way",
+      () => !link.hasPendingFault,
+    );
     const second = await publish(ZONE_B);
     expect(second.outcome).to.equal("completed");
-    link.release();
+    link.releaseHeld();
     expect((await first).answer).to.deep.equal(second.answer);
     expect(await runs()).to.equal(1);
   });
@@ -248,7 +259,7 @@
   // A caller on a poor connection drops off while its order is worked on, and
   // repeats it in another zone: it must get the answer of the one run.
   it("keeps the answer of a caller that was cut off", async () => {
-    await deployment.setFault(SERVICE_A, CallFault.PauseBefore);
+    await deployment.setFault(SERVICE_A, CallFault.PauseBeforeRun);
     const leaving = new AbortController();
     const first = publishCutOff(leaving.signal);
     await pausedAtService();
@@ -263,13 +274,13 @@
 
   const LOSSES = [
     // The service dies with the call in hand, before it has done anything.
-    { fault: CallFault.DieBefore, when: "dies before acting", count: 0 },
+    { fault: CallFault.CrashBeforeRun, when: "dies before acting", count: 0 },
     // It dies when all is done but the answer.
-    { fault: CallFault.DieAfter, when: "dies after acting", count: 1 },
+    { fault: CallFault.CrashAfterRun, when: "dies after acting", count: 1 },
     // Its connection breaks after it has acted.
     { fault: CallFault.LoseAnswer, when: "loses its answer", count: 1 },
     // Its answer names another request: whose it is, nobody can tell.
-    { fault: CallFault.CrossAnswer, when: "crosses answers", count: 1 },
+    { fault: CallFault.ForeignAnswer, when: "crosses answers", count: 1 },
   ];
   for (const { fault, when, count } of LOSSES) {
     it(`says unknown and runs no more if the target ${when}`, async () => {
@@ -314,7 +325,7 @@
   // The platform goes down while the service works. The caller has its answer
   // all the same, and once the platform is back so has whoever repeats.
   it("records the answer when the platform is back", async () => {
-    await deployment.setFault(SERVICE_A, CallFault.PauseAfter);
+    await deployment.setFault(SERVICE_A, CallFault.PauseAfterRun);
     const first = publish(ZONE_A);
     await pausedAtService();
     deployment.link(LINK_A).setMode(LinkMode.Cut);
@@ -350,8 +361,8 @@
       outcome: "not_run",
       reason: "idempotency_key_reused",
     });
-    const { body } = await ask({
-      address: deployment.process(DAEMON_A).field("callers"),
+    const { body } = await sendCall({
+      address: deployment.process(DAEMON_A).listeningField("callers"),
       credential: "editor-desk-secret",
       operation: "delivery-api/publish",
       body: { item: "the editor desk's" },
--- a/test/command_line_apply_test.ts
+++ b/test/command_line_apply_test.ts
@@ -48,7 +48,7 @@
     folder = mkdtempSync(join(tmpdir(), "cranberryledge-"));
     const program = "stand_ins/object_api/main.js";
     platform = await ProcessHandle.start("platform", program, []);
-    const address = platform.field("address");
+    const address = platform.listeningField("address");
     operator = new Operator(address);
     link = new FaultProxy(address);
     linkAddress = await link.listen("127.0.0.1:0");
@@ -97,7 +97,7 @@
     // first one's change, and must see what it was.
     const { version } = await held();
     const first = await apply("plans", plansText(2), version);
-    expect(first.code).to.equal(ExitCode.Done);
+    expect(first.code).to.equal(ExitCode.Success);
     const second = await apply("plans", plansText(3), version);
     expect(second.code).to.equal(ExitCode.Conflict);
     expect(second.output).toMatchSnapshot();
@@ -108,16 +108,16 @@
     // The write takes effect and its answer is lost on the way. Without
     // reading back the operator would not know whether to try again.
     const { version } = await held();
-    const before = (await operator.counts())[PUT] ?? 0;
-    await operator.control({ delay_ms: SLOW });
+    const before = (await operator.fetchCallCounts())[PUT] ?? 0;
+    await operator.setFaults({ delay_ms: SLOW });
     const applying = apply("plans", plansText(4), version);
     await waitFor("the write is on its way", async () => {
-      return ((await operator.counts())[PUT] ?? 0) > before;
+      return ((await operator.fetchCallCounts())[PUT] ?? 0) > before;
     });
     link.setMode(LinkMode.LoseAnswer);
     const { code, output } = await applying;
-    await operator.control({ delay_ms: 0 });
-    expect(code).to.equal(ExitCode.Done);
+    await operator.setFaults({ delay_ms: 0 });
+    expect(code).to.equal(ExitCode.Success);
     expect(output).to.equal(`version=${(await held()).version}\n`);
     expect((await held()).text).to.equal(plansText(4));
   });
@@ -127,14 +127,14 @@
     // read it back, and the first one's tool is then run again. The later edit
     // must stay.
     const { version } = await held();
-    const before = (await operator.counts())[PUT] ?? 0;
-    await operator.control({ delay_ms: SLOW });
+    const before = (await operator.fetchCallCounts())[PUT] ?? 0;
+    await operator.setFaults({ delay_ms: SLOW });
     const applying = apply("plans", plansText(5), version);
     await waitFor("the write is on its way", async () => {
-      return ((await operator.counts())[PUT] ?? 0) > before;
+      return ((await operator.fetchCallCounts())[PUT] ?? 0) > before;
     });
     link.setMode(LinkMode.LoseAnswer);
-    await operator.control({ delay_ms: 0 });
+    await operator.setFaults({ delay_ms: 0 });
     await waitFor("the write took effect", async () => {
       return (await held()).text === plansText(5);
     });
@@ -164,7 +164,7 @@
     credential_sha256: "${"0".repeat(64)}"
 `;
     const warned = await apply("customers", customers, 0);
-    expect(warned.code).to.equal(ExitCode.Done);
+    expect(warned.code).to.equal(ExitCode.Success);
     expect(warned.output).to.include(
       "warning: customers.yaml:3:11: customers[0].plan: no plan is named",
     );
--- a/test/command_line_explain_test.ts
+++ b/test/command_line_explain_test.ts
@@ -33,7 +33,7 @@
 
   it("reads files, and standard input without any", () => {
     const byFile = explain(["ab12", join(folder, "b-1.log")]);
-    expect(byFile.code, byFile.errors).to.equal(ExitCode.Done);
+    expect(byFile.code, byFile.errors).to.equal(ExitCode.Success);
     expect(byFile.output).to.include("reason=deadline_passed");
     expect(explain(["ab12"], LINE).output).to.equal(byFile.output);
   });
--- a/test/command_line_late_test.ts
+++ b/test/command_line_late_test.ts
@@ -21,7 +21,7 @@
   // Callers complain that a model is slow; the engineer has the logs alone.
   it("tells the cause and a request to look up", () => {
     const { code, output, errors } = reportLate([], LINE);
-    expect(code, errors).to.equal(ExitCode.Done);
+    expect(code, errors).to.equal(ExitCode.Success);
     expect(output).to.match(/large +waited.*ab12/);
   });
 
--- a/test/thin_path_test.ts
+++ b/test/end_to_end_test.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from "chai";
 import { wholeText } from "../src/stand_ins/engine_member/text.ts";
-import { ask, askStream } from "./support/caller.ts";
+import { sendCall, sendStreamCall } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import type { IDeploymentPlan } from "./support/deployment.ts";
 
@@ -52,14 +52,14 @@
   for (const { plan, credential, ...operations } of CASES) {
     it(`serves ${plan.example} through six daemons`, async () => {
       await using deployment = await Deployment.start(plan);
-      const daemons = deployment.names("daemon-");
+      const daemons = deployment.processNames("daemon-");
       expect(daemons).to.have.length(6);
       for (const [index, daemon] of daemons.entries()) {
-        const address = deployment.process(daemon).field("callers");
+        const address = deployment.process(daemon).listeningField("callers");
         const caller = { address, credential };
         const prompt = `wire story ${index}`;
 
-        const headline = await ask({
+        const headline = await sendCall({
           ...caller,
           operation: operations.buffered,
           body: { prompt, maximum_tokens: 8 },
@@ -70,7 +70,7 @@
           tokens: 8,
         });
 
-        const brief = await askStream({
+        const brief = await sendStreamCall({
           ...caller,
           operation: operations.stream,
           body: { prompt, maximum_tokens: 60 },
@@ -78,7 +78,7 @@
         expect(brief.text).to.equal(wholeText(prompt, 60));
         expect(brief.isWhole).to.equal(true);
 
-        const read = await ask({
+        const read = await sendCall({
           ...caller,
           operation: operations.read,
           body: { page: index },
@@ -91,8 +91,8 @@
           body: { item: index },
           key: `item-${index}`,
         };
-        const first = await ask(once);
-        const second = await ask(once);
+        const first = await sendCall(once);
+        const second = await sendCall(once);
         expect(first.body.outcome).to.equal("completed");
         expect(second.body.answer).to.deep.equal(first.body.answer);
       }
--- a/test/platform_path_test.ts
+++ b/test/entry_process_test.ts
@@ -57,7 +57,7 @@
 }
 
 /** One entry process before some engines of one domain. */
-class Platform {
+class EntryDeployment {
   readonly store = new PlatformStore();
   readonly engines: readonly PlatformEngine[];
   readonly #folder = mkdtempSync(join(tmpdir(), "cranberryledge-entry-"));
@@ -110,7 +110,7 @@
     });
   }
 
-  async ask(
+  async sendCall(
     id: string,
     options: { readonly path?: string; readonly key?: string } = {},
   ): Promise<{ readonly status: number; readonly text: string }> {
@@ -131,21 +131,23 @@
   }
 
   /** Asks until it is answered by a group. */
-  async served(): Promise<void> {
+  async waitForOneGroup(): Promise<void> {
     let attempts = 0;
     await waitFor("a group serves", async () => {
       attempts += 1;
-      return (await this.ask(`first-${attempts}`)).status === 200;
+      return (await this.sendCall(`first-${attempts}`)).status === 200;
     });
   }
 
   /** Asks until two engines have run calls, so that two groups serve. */
-  async servedByTwo(): Promise<void> {
+  async waitForTwoGroups(): Promise<void> {
     let attempts = 0;
     await waitFor("two groups serve", async () => {
       attempts += 1;
-      await this.ask(`spread-${attempts}`);
-      return this.engines.filter(({ ran }) => ran.length > 0).length > 1;
+      await this.sendCall(`spread-${attempts}`);
+      return (
+        this.engines.filter(({ attempts }) => attempts.length > 0).length > 1
+      );
     });
   }
 
@@ -165,19 +167,23 @@
 
 describe("the entry process on the platform's form", () => {
   it("forms groups and passes a stream on whole", async () => {
-    await using platform = new Platform();
+    await using platform = new EntryDeployment();
     await platform.start();
-    await platform.served();
-    const { status, text } = await platform.ask("attempt-1");
+    await platform.waitForOneGroup();
+    const { status, text } = await platform.sendCall("attempt-1");
     expect(status).to.equal(200);
     expect(idsOf(text)).to.deep.equal(WHOLE);
   });
 
   it("turns away unknown routes and keys, and follows new versions", async () => {
-    await using platform = new Platform();
+    await using platform = new EntryDeployment();
     await platform.start();
-    expect((await platform.ask("a", { path: "/else/1" })).status).to.equal(404);
-    expect((await platform.ask("b", { key: "other" })).status).to.equal(401);
+    expect((await platform.sendCall("a", { path: "/else/1" })).status).to.equal(
+      404,
+    );
+    expect((await platform.sendCall("b", { key: "other" })).status).to.equal(
+      401,
+    );
     const route = {
       name: "else",
       host: "news.example",
@@ -189,7 +195,7 @@
     };
     platform.store.put("config", "main", configuration(2, [route]));
     await waitFor("the new route is known", async () => {
-      const { status } = await platform.ask("c", { path: "/else/1" });
+      const { status } = await platform.sendCall("c", { path: "/else/1" });
       return status === 503;
     });
   });
@@ -197,51 +203,53 @@
   // The store goes away while callers are served. What is known of routes and
   // groups still holds.
   it("serves on while the store is away", async () => {
-    await using platform = new Platform();
+    await using platform = new EntryDeployment();
     await platform.start();
-    await platform.served();
-    platform.store.isAway = true;
-    const { status, text } = await platform.ask("attempt-1");
+    await platform.waitForOneGroup();
+    platform.store.isUnavailable = true;
+    const { status, text } = await platform.sendCall("attempt-1");
     expect(status).to.equal(200);
     expect(idsOf(text)).to.deep.equal(WHOLE);
-    platform.store.isAway = false;
+    platform.store.isUnavailable = false;
   });
 
   // The engine that writes an answer stands still in the middle of it. The
   // caller reads on from another group, without a gap or a repeat.
   it("goes on with a stream at another group", async () => {
-    await using platform = new Platform();
+    await using platform = new EntryDeployment();
     await platform.start();
-    await platform.servedByTwo();
-    const asked = platform.ask("attempt-1");
+    await platform.waitForTwoGroups();
+    const asked = platform.sendCall("attempt-1");
     const isWriting = () =>
-      platform.engines.find(({ ran }) => ran.includes("attempt-1"));
+      platform.engines.find(({ attempts }) => attempts.includes("attempt-1"));
     await waitFor("an engine writes", async () => isWriting() !== undefined);
     const first = isWriting();
     if (first !== undefined) {
-      first.isStill = true;
+      first.isStalled = true;
     }
     const { status, text } = await asked;
     expect(status).to.equal(200);
     expect(idsOf(text)).to.deep.equal(WHOLE);
-    const ran = platform.engines.filter(({ ran }) => ran.includes("attempt-1"));
+    const ran = platform.engines.filter(({ attempts }) =>
+      attempts.includes("attempt-1"),
+    );
     expect(ran).to.have.length(2);
   });
 
   // An instance is replaced. Its process is told to stop while it serves a
   // caller, who should get the whole answer.
   it("finishes a stream when it is told to stop", async () => {
-    await using platform = new Platform();
+    await using platform = new EntryDeployment();
     await platform.start();
-    await platform.served();
-    const asked = platform.ask("attempt-1");
+    await platform.waitForOneGroup();
+    const asked = platform.sendCall("attempt-1");
     await waitFor("an engine writes", () =>
-      platform.engines.some(({ ran }) => ran.includes("attempt-1")),
+      platform.engines.some(({ attempts }) => attempts.includes("attempt-1")),
     );
     platform.entry?.signal("SIGTERM");
     const { status, text } = await asked;
     expect(status).to.equal(200);
     expect(idsOf(text)).to.deep.equal(WHOLE);
-    await platform.entry?.exited();
+    await platform.entry?.waitForExit();
   });
 });
--- a/test/failure_evidence_test.ts
+++ b/test/failure_evidence_test.ts
@@ -1,11 +1,11 @@
 import { expect } from "chai";
-import { tailOfProcesses } from "./support/failure_evidence.ts";
+import { formatOutputTails } from "./support/failure_evidence.ts";
 
 describe("the evidence of a failed test", () => {
   // Guards against a failure that leaves nothing to trace it by.
   it("is the end of what each process has written", () => {
     const output = Array.from({ length: 60 }, (_, line) => `line ${line}\n`);
-    const text = tailOfProcesses([
+    const text = formatOutputTails([
       { name: "daemon-a", output: output.join("") },
       { name: "engine-a", output: "event=listening\n" },
     ]);
--- a/test/free_address_test.ts
+++ b/test/free_address_test.ts
@@ -1,6 +1,6 @@
 import { createServer } from "node:net";
 import { expect } from "chai";
-import { FIRST_PORT, freeAddress, PORTS } from "./support/free_address.ts";
+import { FIRST_PORT, freeAddress, PORT_COUNT } from "./support/free_address.ts";
 
 function portOf(address: string): number {
   return Number(address.split(":")[1]);
@@ -12,7 +12,7 @@
   it("have ports that no outgoing connection is given", async () => {
     const port = portOf(await freeAddress());
     expect(port).to.be.at.least(FIRST_PORT);
-    expect(port).to.be.below(FIRST_PORT + PORTS);
+    expect(port).to.be.below(FIRST_PORT + PORT_COUNT);
   });
 
   it("are not those on which something listens", async () => {
--- a/test/groups_lease_test.ts
+++ b/test/groups_lease_test.ts
@@ -3,15 +3,15 @@
 import { RequestFault } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
 import { Deployment } from "./support/deployment.ts";
 import {
-  engineRecords,
+  fetchEngineRecords,
   findHolder,
   groupPlan,
-  judgeEpochs,
-  judgeWhole,
-  readRecord,
-  SteadyCaller,
+  expectEpochsNonDecreasing,
+  expectAllMembersWorked,
+  readDomainRecord,
+  ContinuousCaller,
   waitForGroups,
-} from "./support/group_proof.ts";
+} from "./support/group_checks.ts";
 import { waitFor } from "./support/process_handle.ts";
 
 const DOMAIN_WRITE = "PUT /objects/fabric_domains";
@@ -25,9 +25,9 @@
       groupPlan({ daemonsPerZone: 3, enginesPerZone: 6 }),
     );
     const { holder, others } = await findHolder(deployment);
-    const before = await readRecord(deployment);
-    const caller = new SteadyCaller(deployment, others);
-    await caller.completes(5);
+    const before = await readDomainRecord(deployment);
+    const caller = new ContinuousCaller(deployment, others);
+    await caller.waitForCompleted(5);
     const links = others.map((daemon) => deployment.link(`platform<${daemon}`));
     links.forEach((link) => link.failNext(DOMAIN_WRITE, RequestFault.Hold));
     deployment.process(holder).signal("SIGKILL");
@@ -35,28 +35,28 @@
     deployment.process(lost).signal("SIGKILL");
     // Both that are left take over at once, and each loses the answer.
     await waitFor("both takeovers are on their way", () =>
-      links.every((link) => !link.isFaultDue),
+      links.every((link) => !link.hasPendingFault),
     );
-    links.forEach((link) => link.release({ losesAnswer: true }));
+    links.forEach((link) => link.releaseHeld({ losesAnswer: true }));
     for (const daemon of others) {
       await waitForGroups(deployment, daemon, 1);
     }
-    await caller.completes(5);
+    await caller.waitForCompleted(5);
     await caller.stop();
-    const after = await readRecord(deployment);
+    const after = await readDomainRecord(deployment);
     expect(after.epoch).to.equal(before.epoch + 1);
     expect(after.groups[0]?.members).not.to.include(lost);
-    const records = await engineRecords(deployment);
-    await judgeWhole(deployment);
-    judgeEpochs(records);
+    const records = await fetchEngineRecords(deployment);
+    await expectAllMembersWorked(deployment);
+    expectEpochsNonDecreasing(records);
 
     // A daemon is stopped in an orderly way. Users notice nothing; the next
     // holder is there before the lease could have run out.
     const second = await findHolder(deployment);
     const heir = second.others[0] ?? "";
-    const held = await readRecord(deployment);
+    const held = await readDomainRecord(deployment);
     deployment.process(second.holder).signal("SIGTERM");
-    await deployment.process(second.holder).exited();
+    await deployment.process(second.holder).waitForExit();
     expect(deployment.process(second.holder).output).to.include(
       "event=lease_lost",
     );
@@ -64,7 +64,7 @@
       const { domains } = await deployment.status(heir);
       return domains.some(({ holding }) => holding);
     });
-    expect((await readRecord(deployment)).epoch).to.equal(held.epoch + 1);
+    expect((await readDomainRecord(deployment)).epoch).to.equal(held.epoch + 1);
   });
 
   // A daemon is told to stop. Were its lease left to run out, the domain
@@ -74,13 +74,13 @@
       groupPlan({ enginesPerZone: 4, groups: { lease: "10m" } }),
     );
     const { holder, others } = await findHolder(deployment);
-    const { epoch } = await readRecord(deployment);
+    const { epoch } = await readDomainRecord(deployment);
     deployment.process(holder).signal("SIGTERM");
     await waitFor("the other daemon holds the lease", async () => {
       const { domains } = await deployment.status(others[0] ?? "");
       return domains.some(({ holding }) => holding);
     });
-    expect((await readRecord(deployment)).epoch).to.equal(epoch + 1);
+    expect((await readDomainRecord(deployment)).epoch).to.equal(epoch + 1);
   });
 
   // The holder hangs just before it orders a new generation. When it wakes,
@@ -96,10 +96,11 @@
     );
     const { holder, others } = await findHolder(deployment);
     const heir = others[0] ?? "";
-    const members = (await readRecord(deployment)).groups[0]?.members ?? [];
+    const members =
+      (await readDomainRecord(deployment)).groups[0]?.members ?? [];
     const generationIs = (generation: number) =>
       waitFor(`generation ${generation}`, async () => {
-        const { groups } = await readRecord(deployment);
+        const { groups } = await readDomainRecord(deployment);
         return groups[0]?.generation === generation;
       });
     deployment.process(members[1] ?? "").signal("SIGKILL");
@@ -111,11 +112,11 @@
     await waitForGroups(deployment, heir, 1);
     deployment.process(holder).signal("SIGCONT");
     await waitForGroups(deployment, holder, 1);
-    const caller = new SteadyCaller(deployment, [heir, holder]);
-    await caller.completes(10);
+    const caller = new ContinuousCaller(deployment, [heir, holder]);
+    await caller.waitForCompleted(10);
     await caller.stop();
-    await judgeWhole(deployment);
-    judgeEpochs(await engineRecords(deployment));
+    await expectAllMembersWorked(deployment);
+    expectEpochsNonDecreasing(await fetchEngineRecords(deployment));
   });
 
   for (const fencing of ["refuse", "ignore"] as const) {
@@ -132,13 +133,13 @@
       );
       const { holder, others } = await findHolder(deployment);
       const heir = others[0] ?? "";
-      const { epoch, groups } = await readRecord(deployment);
+      const { epoch, groups } = await readDomainRecord(deployment);
       const members = groups[0]?.members ?? [];
       const spares = deployment
-        .names("engine-")
+        .processNames("engine-")
         .filter((engine) => !members.includes(engine));
-      const caller = new SteadyCaller(deployment, [heir]);
-      await caller.completes(5);
+      const caller = new ContinuousCaller(deployment, [heir]);
+      await caller.waitForCompleted(5);
 
       for (const spare of spares) {
         const link = deployment.link(`target>${spare}`);
@@ -149,36 +150,36 @@
       await waitFor("an order is on its way to a spare", () => {
         moved =
           spares.find(
-            (spare) => !deployment.link(`target>${spare}`).isFaultDue,
+            (spare) => !deployment.link(`target>${spare}`).hasPendingFault,
           ) ?? "";
         return moved !== "";
       });
       deployment.process(holder).signal("SIGSTOP");
       spares.forEach((spare) =>
-        deployment.link(`target>${spare}`).clearFault(),
+        deployment.link(`target>${spare}`).clearPendingFault(),
       );
       await waitForGroups(deployment, heir, 1);
       deployment.process(members[2] ?? "").signal("SIGKILL");
       await waitFor("the heir has formed a third generation", async () => {
-        const record = await readRecord(deployment);
+        const record = await readDomainRecord(deployment);
         return record.groups[0]?.generation === 3;
       });
       await waitForGroups(deployment, heir, 1);
-      deployment.link(`target>${moved}`).release();
+      deployment.link(`target>${moved}`).releaseHeld();
       deployment.process(holder).signal("SIGCONT");
       await waitFor("the old order has reached the engine", async () => {
-        const records = await engineRecords(deployment);
+        const records = await fetchEngineRecords(deployment);
         const deeds = records.find(({ engine }) => engine === moved)?.deeds;
         const last = deeds?.findLastIndex((deed) => deed.epoch === epoch) ?? -1;
         return last > 0;
       });
       await waitForGroups(deployment, heir, 1);
       await waitForGroups(deployment, holder, 1);
-      await caller.completes(5);
+      await caller.waitForCompleted(5);
       await caller.stop();
 
-      const records = await engineRecords(deployment);
-      await judgeWhole(deployment);
+      const records = await fetchEngineRecords(deployment);
+      await expectAllMembersWorked(deployment);
       const deeds = records.find(({ engine }) => engine === moved)?.deeds ?? [];
       const orders = deeds.filter(({ kind }) =>
         ["joined", "released", "refused"].includes(kind),
@@ -191,8 +192,8 @@
         fencing === "refuse" ? epoch : epoch + 1,
       );
       const others1 = records.filter(({ engine }) => engine !== moved);
-      judgeEpochs(others1);
-      expect((await readRecord(deployment)).epoch).to.equal(epoch + 1);
+      expectEpochsNonDecreasing(others1);
+      expect((await readDomainRecord(deployment)).epoch).to.equal(epoch + 1);
     });
   }
 });
--- a/test/groups_members_test.ts
+++ b/test/groups_members_test.ts
@@ -7,15 +7,15 @@
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
 import { Deployment } from "./support/deployment.ts";
 import {
-  engineRecords,
+  fetchEngineRecords,
   findHolder,
   groupPlan,
-  judgeWhole,
-  readRecord,
-  SteadyCaller,
+  expectAllMembersWorked,
+  readDomainRecord,
+  ContinuousCaller,
   waitForGroups,
   ZONE,
-} from "./support/group_proof.ts";
+} from "./support/group_checks.ts";
 import { waitFor } from "./support/process_handle.ts";
 
 /** Renewals after which a new holder has long looked at its domain. */
@@ -23,12 +23,15 @@
 
 describe("replica groups in real processes", () => {
   let deployment: Deployment;
-  let caller: SteadyCaller;
+  let caller: ContinuousCaller;
   const restarts: string[] = [];
 
   before(async () => {
     deployment = await Deployment.start(groupPlan({ enginesPerZone: 9 }));
-    caller = new SteadyCaller(deployment, deployment.names("daemon-"));
+    caller = new ContinuousCaller(
+      deployment,
+      deployment.processNames("daemon-"),
+    );
   });
 
   after(async () => {
@@ -38,25 +41,25 @@
 
   afterEach(async () => {
     await allComplete();
-    await caller.completes(10);
-    await judgeWhole(deployment, restarts);
+    await caller.waitForCompleted(10);
+    await expectAllMembersWorked(deployment, restarts);
   });
 
   async function allComplete(): Promise<void> {
-    for (const daemon of deployment.names("daemon-")) {
+    for (const daemon of deployment.processNames("daemon-")) {
       await waitForGroups(deployment, daemon, 2);
     }
   }
 
   /** Waits until every daemon sees that groups are not complete. */
   async function noticed(complete: number): Promise<void> {
-    for (const daemon of deployment.names("daemon-")) {
+    for (const daemon of deployment.processNames("daemon-")) {
       await waitForGroups(deployment, daemon, complete);
     }
   }
 
   async function firstGroup(): Promise<IReplicaGroup> {
-    const { groups } = await readRecord(deployment);
+    const { groups } = await readDomainRecord(deployment);
     return groups[0] as IReplicaGroup;
   }
 
@@ -81,14 +84,14 @@
     const group = await firstGroup();
     const restarted = group.members[1] ?? "";
     deployment.process(restarted).signal("SIGKILL");
-    await deployment.process(restarted).exited();
+    await deployment.process(restarted).waitForExit();
     await deployment.startEngine(restarted, ZONE);
     restarts.push(restarted);
     await waitFor("the group has its next generation", async () => {
       return (await firstGroup()).generation > group.generation;
     });
     await allComplete();
-    const records = await engineRecords(deployment);
+    const records = await fetchEngineRecords(deployment);
     const deeds = records.find(({ engine }) => engine === restarted)?.deeds;
     const generations = (deeds ?? [])
       .filter((deed) => deed.group === group.id)
@@ -104,7 +107,7 @@
     const paused = deployment.process(group.members[3] ?? "");
     paused.signal("SIGSTOP");
     await noticed(1);
-    await caller.completes(10);
+    await caller.waitForCompleted(10);
     paused.signal("SIGCONT");
     await allComplete();
     expect(await firstGroup()).to.deep.equal(group);
@@ -113,19 +116,19 @@
   // The lease's holder hangs, and then the whole domain goes dark. Users are
   // turned away until it is back; then both groups serve without a load.
   it("keeps groups through a dark domain while the holder is frozen", async () => {
-    const before = await readRecord(deployment);
+    const before = await readDomainRecord(deployment);
     const joinsBefore = await countOrders();
     const { holder, others } = await findHolder(deployment);
     deployment.process(holder).signal("SIGSTOP");
     const engines = deployment
-      .names("engine-")
+      .processNames("engine-")
       .map((name) => deployment.process(name))
       .filter((engine) => !engine.hasExited);
     engines.forEach((engine) => engine.signal("SIGSTOP"));
     await waitForGroups(deployment, others[0] ?? "", 0);
     const attempts = new Set<string>();
     await waitFor("another daemon has held the lease for a while", async () => {
-      const record = await readRecord(deployment);
+      const record = await readDomainRecord(deployment);
       attempts.add(record.epoch > before.epoch ? record.attempt : "");
       return attempts.size > RENEWALS_SEEN;
     });
@@ -133,7 +136,7 @@
     await waitForGroups(deployment, others[0] ?? "", 2);
     deployment.process(holder).signal("SIGCONT");
     await allComplete();
-    const after = await readRecord(deployment);
+    const after = await readDomainRecord(deployment);
     expect(after.groups).to.deep.equal(before.groups);
     expect(await countOrders()).to.equal(joinsBefore);
   });
@@ -144,12 +147,12 @@
   it("serves on what is whole while the platform is down", async () => {
     const group = await firstGroup();
     const links = deployment
-      .names("daemon-")
+      .processNames("daemon-")
       .map((daemon) => deployment.link(`platform<${daemon}`));
     links.forEach((link) => link.setMode(LinkMode.Cut));
     deployment.process(group.members[0] ?? "").signal("SIGKILL");
     await noticed(1);
-    await caller.completes(20);
+    await caller.waitForCompleted(20);
     await deployment.startEngine("engine-late", ZONE);
     links.forEach((link) => link.setMode(LinkMode.Pass));
     await allComplete();
@@ -157,7 +160,7 @@
   });
 
   async function countOrders(): Promise<number> {
-    const records = await engineRecords(deployment);
+    const records = await fetchEngineRecords(deployment);
     return records
       .flatMap(({ deeds }) => deeds)
       .filter(({ kind }) => kind === "joined" || kind === "released").length;
--- a/test/leaving_test.ts
+++ b/test/leaving_test.ts
@@ -7,15 +7,15 @@
 import type { Socket } from "node:net";
 import { expect } from "chai";
 import { request } from "undici";
-import { StreamFault } from "../src/stand_ins/engine_member/stream_fault.ts";
+import { StreamFault } from "../src/stand_ins/engine_member/stream_fault_injector.ts";
 import { wholeText } from "../src/stand_ins/engine_member/text.ts";
-import type { IEngineDeed } from "../src/stand_ins/engine_member/types.ts";
+import type { IEngineLogEntry } from "../src/stand_ins/engine_member/types.ts";
 import {
-  ask,
-  askStream,
+  sendCall,
+  sendStreamCall,
   describeReply,
   longBrief,
-  retryAfter,
+  retryDelayOf,
 } from "./support/caller.ts";
 import type { IStreamReply } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
@@ -53,7 +53,7 @@
   afterEach(() => deployment[Symbol.asyncDispose]());
 
   function caller(daemon: string, id: string, tokens = TOKENS) {
-    const address = deployment.process(daemon).field("callers");
+    const address = deployment.process(daemon).listeningField("callers");
     return longBrief(address, { id, tokens });
   }
 
@@ -66,9 +66,9 @@
     return reply.isWhole && reply.text === wholeText(`story ${id}`, tokens);
   }
 
-  async function deeds(engine: string): Promise<readonly IEngineDeed[]> {
-    const record = await deployment.record<{
-      deeds: readonly IEngineDeed[];
+  async function deeds(engine: string): Promise<readonly IEngineLogEntry[]> {
+    const record = await deployment.fetchRecord<{
+      deeds: readonly IEngineLogEntry[];
     }>(engine);
     return record.deeds;
   }
@@ -86,11 +86,11 @@
     const { onFirstText, mayInsist } = watch;
     const call = { ...caller(DAEMON, id, LONG_TOKENS), onFirstText };
     for (;;) {
-      const reply = await askStream(call);
+      const reply = await sendStreamCall(call);
       if (reply.status === 200 || !mayInsist()) {
         return reply;
       }
-      await sleep(retryAfter(reply));
+      await sleep(retryDelayOf(reply));
     }
   }
 
@@ -100,7 +100,7 @@
     const onFirstText = () => {
       hasText = true;
     };
-    const reply = askStream({ ...caller(DAEMON, id), onFirstText });
+    const reply = sendStreamCall({ ...caller(DAEMON, id), onFirstText });
     await waitFor(`${id} has text`, () => hasText);
     return [reply];
   }
@@ -127,7 +127,7 @@
         const entry = { zone: ZONE, kind: "engine", service: "" } as const;
         await deployment.register(other, { ...entry, state: "leaving" });
       } else {
-        const address = deployment.process(other).field("address");
+        const address = deployment.process(other).listeningField("address");
         const answer = await request(`http://${address}/leave`, {
           method: "POST",
         });
@@ -136,7 +136,9 @@
       const toldAt = Date.now();
       await waitFor("both daemons take the group out of use", async () => {
         const seen = await Promise.all(
-          deployment.names("daemon-").map((name) => deployment.status(name)),
+          deployment
+            .processNames("daemon-")
+            .map((name) => deployment.status(name)),
         );
         return seen.every(
           (status) =>
@@ -144,9 +146,9 @@
         );
       });
       for (let count = 0; count < 8; count++) {
-        for (const daemon of deployment.names("daemon-")) {
+        for (const daemon of deployment.processNames("daemon-")) {
           const id = freshId();
-          const reply = await askStream(caller(daemon, id, FEW_TOKENS));
+          const reply = await sendStreamCall(caller(daemon, id, FEW_TOKENS));
           expect(
             isWhole(reply, id, FEW_TOKENS),
             `${id} by ${daemon}: ${describeReply(reply)}`,
@@ -186,13 +188,13 @@
     stopping.signal("SIGTERM");
     await waitFor("it is not ready", async () => {
       const ready = await request(
-        `http://${stopping.field("operations")}/ready`,
+        `http://${stopping.listeningField("operations")}/ready`,
       );
       await ready.body.dump();
       return ready.statusCode === 503;
     });
     const refused = await request(
-      `http://${stopping.field("callers")}/v1/services/summarizer/headline`,
+      `http://${stopping.listeningField("callers")}/v1/services/summarizer/headline`,
       { method: "POST", body: "{}" },
     );
     expect(refused.headers["connection"]).to.equal("close");
@@ -212,14 +214,14 @@
       }
       expect(reply.wasReset, `${id}: ${describeReply(reply)}`).to.equal(false);
     }
-    await stopping.exited();
+    await stopping.waitForExit();
     expect(stopping.output).to.include("event=stopped");
     await waitFor("the other daemon holds every lease", async () => {
       const { domains } = await deployment.status(`daemon-${ZONE}-1`);
       return domains.every(({ holding }) => holding);
     });
     const id = freshId();
-    const next = await askStream(caller(`daemon-${ZONE}-1`, id));
+    const next = await sendStreamCall(caller(`daemon-${ZONE}-1`, id));
     expect(isWhole(next, id)).to.equal(true);
   });
 
@@ -228,7 +230,9 @@
   // request: the caller cannot know whether its publish has run.
   it("of a daemon answers what crosses it on kept connections", async () => {
     const stopping = deployment.process(DAEMON);
-    const [host = "", port = ""] = stopping.field("callers").split(":");
+    const [host = "", port = ""] = stopping
+      .listeningField("callers")
+      .split(":");
     const kept = connect(Number(port), host);
     const said = keepWhatComes(kept);
     kept.write(plainRequest());
@@ -251,7 +255,7 @@
     await deployment.setFault(leader, StreamFault.Refuse);
     for (let count = 0; count < 6; count++) {
       const id = freshId();
-      const reply = await ask({
+      const reply = await sendCall({
         ...caller(DAEMON, id),
         operation: "summarizer/headline",
       });
--- a/test/load_test.ts
+++ b/test/load_test.ts
@@ -4,8 +4,8 @@
 import { join } from "node:path";
 import { setTimeout as sleep } from "node:timers/promises";
 import { expect } from "chai";
-import type { IEngineDeed } from "../src/stand_ins/engine_member/types.ts";
-import { ask } from "./support/caller.ts";
+import type { IEngineLogEntry } from "../src/stand_ins/engine_member/types.ts";
+import { sendCall } from "./support/caller.ts";
 import type { IReply } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import { waitFor } from "./support/process_handle.ts";
@@ -41,7 +41,7 @@
     return lists.find(({ list }) => list === "plans")?.version ?? 0;
   };
   const before = await version();
-  const applied = await deployment.run(
+  const applied = await deployment.runCommandLine(
     ...["apply", "plans", file, "--edited-from", String(before)],
     ...["--platform", deployment.platformAddress],
   );
@@ -66,9 +66,9 @@
       plainService: "taller-app",
     });
     await applyPlans(deployment);
-    const address = deployment.process(DAEMON).field("callers");
+    const address = deployment.process(DAEMON).listeningField("callers");
     const send = (credential: string, requestId: string): Promise<IReply> =>
-      ask({
+      sendCall({
         address,
         credential,
         requestId,
@@ -99,10 +99,10 @@
     const refused = replies.filter(({ body }) => body.outcome === "not_run");
     expect(refused).to.have.length.above(0).and.below(replies.length);
     const began = new Set<string>();
-    for (const engine of deployment.names("engine-")) {
-      const { deeds } = await deployment.record<{ deeds: IEngineDeed[] }>(
-        engine,
-      );
+    for (const engine of deployment.processNames("engine-")) {
+      const { deeds } = await deployment.fetchRecord<{
+        deeds: IEngineLogEntry[];
+      }>(engine);
       deeds
         .filter(({ kind }) => kind === "began")
         .forEach(({ requestId }) => began.add(requestId));
--- a/test/paused_daemon_test.ts
+++ b/test/paused_daemon_test.ts
@@ -1,6 +1,6 @@
 /** A daemon that stood still has heard nobody, which tells nothing of them. */
 import { expect } from "chai";
-import { ask, longBrief } from "./support/caller.ts";
+import { sendCall, longBrief } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import { waitFor } from "./support/process_handle.ts";
 
@@ -30,12 +30,12 @@
   // and all callers refused for it.
   it("serves what was sent to it meanwhile", async () => {
     const daemon = deployment.process(DAEMON);
-    const address = daemon.field("callers");
+    const address = daemon.listeningField("callers");
     for (let round = 0; round < ROUNDS; round += 1) {
       daemon.signal("SIGSTOP");
       const since = Date.now();
       const replies = [0, 1, 2].map((index) =>
-        ask({
+        sendCall({
           ...longBrief(address, { id: `${round}-${index}`, tokens: 5 }),
           operation: "summarizer/headline",
         }),
--- a/test/plan_lists_outage_test.ts
+++ b/test/plan_lists_outage_test.ts
@@ -11,7 +11,7 @@
 import type { IBurnReport } from "../src/common/reports/burn_report.ts";
 import type { IDaemonStatus } from "../src/common/services/daemon_status.ts";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
-import { ask, askStream } from "./support/caller.ts";
+import { sendCall, sendStreamCall } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import { Operator } from "./support/operator.ts";
 import { waitFor } from "./support/process_handle.ts";
@@ -50,9 +50,11 @@
       lists: { poll: "1s" },
     });
     operator = new Operator(deployment.platformAddress);
-    daemons = deployment.names("daemon-");
+    daemons = deployment.processNames("daemon-");
     sampler = new VersionSampler(
-      daemons.map((name) => deployment.process(name).field("operations")),
+      daemons.map((name) =>
+        deployment.process(name).listeningField("operations"),
+      ),
     );
   });
 
@@ -63,14 +65,14 @@
   });
 
   afterEach(() => {
-    expect(sampler.stepsBack).to.deep.equal([]);
+    expect(sampler.regressions).to.deep.equal([]);
   });
 
   /** The status of a call's outcome by a credential at a daemon. */
   async function callStatus(daemon: string, credential: string) {
-    const address = deployment.process(daemon).field("callers");
+    const address = deployment.process(daemon).listeningField("callers");
     const operation = "delivery-api/feed";
-    const reply = await ask({ address, credential, operation, body: {} });
+    const reply = await sendCall({ address, credential, operation, body: {} });
     return reply.status;
   }
 
@@ -146,7 +148,7 @@
     // open connection; new ones work. A daemon that waited on its old watch
     // would not hear of an edit until the connection dies, minutes later.
     for (const daemon of daemons) {
-      deployment.link(`platform<${daemon}`).setMode(LinkMode.SilentOld);
+      deployment.link(`platform<${daemon}`).setMode(LinkMode.SilentExisting);
     }
     await operator.putList("customers", customersWith("after-silence"));
     await servedAt(daemons, "after-silence");
@@ -157,16 +159,16 @@
     // daemon that believed them would put an old plan back in force; customers
     // would see their limits flip to and fro.
     const old = await operator.putList("customers", customersWith("old"));
-    await operator.control({ late_events: [PLAN_LIST_KIND] });
+    await operator.setFaults({ late_events: [PLAN_LIST_KIND] });
     await operator.putList("customers", customersWith("late-1"));
     await operator.putList("customers", customersWith("late-2"));
     await servedAt(daemons, "late-2");
-    await operator.control({ late_events: [], stale: { plan_lists: old } });
+    await operator.setFaults({ late_events: [], stale: { plan_lists: old } });
     await hasAlarm(daemons[0] ?? "", "platform_behind", true);
     for (const daemon of daemons) {
       expect(await callStatus(daemon, "late-2")).to.equal(200);
     }
-    await operator.control({ stale: { plan_lists: null } });
+    await operator.setFaults({ stale: { plan_lists: null } });
     await hasAlarm(daemons[0] ?? "", "platform_behind", false);
   });
 
@@ -201,7 +203,7 @@
       expect(await callStatus(daemon, "bad")).to.equal(401);
     }
     const address = ["--platform", deployment.platformAddress];
-    const told = await deployment.run("status", ...address);
+    const told = await deployment.runCommandLine("status", ...address);
     expect(told.output).to.include("daemons/by-hand:1:1: Invalid input");
     expect(told.output).to.include("daemons/by-hand-2:1:1: daemon: Invalid");
     const found = await operator.platform.read(PLAN_LIST_KIND, "plans");
@@ -218,7 +220,7 @@
     // Two operators' tools edit at the same time, ten times a second. Every
     // zone must end with the last edit, and the platform must not be asked
     // more for it: two watches a zone wait, whatever the number of daemons.
-    const before = await operator.counts();
+    const before = await operator.fetchCallCounts();
     for (let edit = 1; edit <= EDITS; edit++) {
       const [list, text] =
         edit % 2 === 0
@@ -228,7 +230,7 @@
       await sleep(EDIT_EVERY);
     }
     await servedAt(daemons, `edit-${EDITS}`);
-    const after = await operator.counts();
+    const after = await operator.fetchCallCounts();
     expect(after["waiting plan_lists"]).to.be.at.most(2 * ZONES.length);
     const key = "GET watch plan_lists";
     const watches = (after[key] ?? 0) - (before[key] ?? 0);
@@ -239,21 +241,26 @@
     // The platform is put back from a copy: its versions are lower than those
     // in force. Daemons must not follow it back, must say so, and an operator
     // must be able to go on from there without restarting anything.
-    const copy = await operator.control({});
+    const copy = await operator.setFaults({});
     await operator.putList("customers", customersWith("after-copy"));
     await servedAt(daemons, "after-copy");
-    await operator.control({ restore: copy });
+    await operator.setFaults({ restore: copy });
     for (const daemon of daemons) {
       await hasAlarm(daemon, "platform_behind", true);
       expect(await callStatus(daemon, "after-copy")).to.equal(200);
     }
     const address = ["--platform", deployment.platformAddress];
     for (const list of ["customers", "plans"]) {
-      const held = await deployment.run("get", list, ...address);
+      const held = await deployment.runCommandLine("get", list, ...address);
       const version = /version=(\d+)/.exec(held.output)?.[1] ?? "";
       const file = new URL(`${list}.yaml`, EXAMPLES).pathname;
       const words = [list, file, "--edited-from", version, "--after-restore"];
-      const put = await deployment.run("apply", ...words, "--wait", ...address);
+      const put = await deployment.runCommandLine(
+        "apply",
+        ...words,
+        "--wait",
+        ...address,
+      );
       expect(put.output).to.match(/^version=1\d{12}$/m);
       expect(put.code, put.output).to.equal(0);
     }
@@ -269,18 +276,23 @@
     const credential = "editor-desk-secret";
     for (const daemon of daemons) {
       await callStatus(daemon, credential);
-      const stream = await askStream({
-        address: deployment.process(daemon).field("callers"),
+      const stream = await sendStreamCall({
+        address: deployment.process(daemon).listeningField("callers"),
         credential,
         operation: "summarizer/long-brief",
         body: { prompt: "wire story", maximum_tokens: 20 },
       });
       expect(stream.isWhole).to.equal(true);
     }
-    const status = await deployment.run("status", ...address);
+    const status = await deployment.runCommandLine("status", ...address);
     expect(status.output).to.match(/customers +1\d{12} +1\d{12} +1\d{12}/);
     expect(status.output).to.match(/vn-north-c-fabric +daemon-vn-north-c-/);
-    const told = await deployment.run("report", "burn", "--json", ...address);
+    const told = await deployment.runCommandLine(
+      "report",
+      "burn",
+      "--json",
+      ...address,
+    );
     const { rows, daemons: counted } = JSON.parse(told.output) as IBurnReport;
     expect(counted).to.have.length(daemons.length);
     const streams = rows.filter(
--- a/test/plan_lists_start_test.ts
+++ b/test/plan_lists_start_test.ts
@@ -3,7 +3,7 @@
 import { expect } from "chai";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
 import type { IDaemonStatus } from "../src/common/services/daemon_status.ts";
-import { ask } from "./support/caller.ts";
+import { sendCall } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import { Operator } from "./support/operator.ts";
 import { waitFor } from "./support/process_handle.ts";
@@ -42,7 +42,7 @@
   });
 
   afterEach(async () => {
-    await operator.control({ stale: { plan_lists: null } });
+    await operator.setFaults({ stale: { plan_lists: null } });
     for (const daemon of [FIRST, LATE]) {
       deployment.link(`platform<${daemon}`).setMode(LinkMode.Pass);
       deployment.link(`peers>${daemon}`).setMode(LinkMode.Pass);
@@ -55,9 +55,9 @@
   });
 
   async function callAt(daemon: string, credential: string) {
-    const address = deployment.process(daemon).field("callers");
+    const address = deployment.process(daemon).listeningField("callers");
     const operation = "delivery-api/feed";
-    return ask({ address, credential, operation, body: {} });
+    return sendCall({ address, credential, operation, body: {} });
   }
 
   function servedAt(daemon: string, credential: string): Promise<void> {
@@ -90,7 +90,7 @@
     await servedAt(FIRST, "removed");
     await operator.putList("customers", customersOnly("current"));
     await servedAt(FIRST, "current");
-    await operator.control({ stale: { plan_lists: stale } });
+    await operator.setFaults({ stale: { plan_lists: stale } });
     await deployment.startDaemon(LATE, ZONE);
     await waitFor("the late daemon serves the current account", async () => {
       const removed = await callAt(LATE, "removed");
--- a/test/spill_test.ts
+++ b/test/spill_test.ts
@@ -2,8 +2,8 @@
 import { expect } from "chai";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
 import { wholeText } from "../src/stand_ins/engine_member/text.ts";
-import type { IEngineDeed } from "../src/stand_ins/engine_member/types.ts";
-import { ask, askStream } from "./support/caller.ts";
+import type { IEngineLogEntry } from "../src/stand_ins/engine_member/types.ts";
+import { sendCall, sendStreamCall } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import type { IStatus } from "./support/deployment.ts";
 import { waitFor } from "./support/process_handle.ts";
@@ -23,8 +23,10 @@
 /** Requests that engines of a zone began, by their identifiers. */
 async function begun(deployment: Deployment, zone: string): Promise<string[]> {
   const requests: string[] = [];
-  for (const engine of deployment.names(`engine-${zone}`)) {
-    const record = await deployment.record<{ deeds: IEngineDeed[] }>(engine);
+  for (const engine of deployment.processNames(`engine-${zone}`)) {
+    const record = await deployment.fetchRecord<{ deeds: IEngineLogEntry[] }>(
+      engine,
+    );
     const deeds = record.deeds.filter(({ kind }) => kind === "began");
     requests.push(...deeds.map(({ requestId }) => requestId));
   }
@@ -32,7 +34,7 @@
 }
 
 function callerOf(deployment: Deployment, daemon: string) {
-  const address = deployment.process(daemon).field("callers");
+  const address = deployment.process(daemon).listeningField("callers");
   return { address, credential: CREDENTIAL };
 }
 
@@ -58,7 +60,7 @@
     });
 
     const prompt = "an overseas story";
-    const stream = askStream({
+    const stream = sendStreamCall({
       ...caller,
       operation: "summarizer/long-brief",
       requestId: "under-way",
@@ -67,7 +69,7 @@
     await waitFor("the stream is under way", async () => {
       return (await begun(deployment, DARK)).includes("under-way");
     });
-    for (const engine of deployment.names(`engine-${DARK}`)) {
+    for (const engine of deployment.processNames(`engine-${DARK}`)) {
       deployment.process(engine).signal("SIGKILL");
     }
     const reply = await stream;
@@ -75,7 +77,7 @@
     expect(reply.text).to.equal(wholeText(prompt, 400));
     expect(await begun(deployment, LIT)).to.include("under-way");
 
-    const headline = await ask({
+    const headline = await sendCall({
       ...caller,
       operation: "summarizer/headline",
       requestId: "after",
@@ -87,7 +89,7 @@
     // The zones are cut from each other as well: nothing is left to serve by,
     // and the caller is told at once that nothing ran and when to come back.
     deployment.link(`peers>daemon-${LIT}-0`).setMode(LinkMode.Cut);
-    const refused = await ask({
+    const refused = await sendCall({
       ...caller,
       operation: "summarizer/headline",
       requestId: "cut-off",
--- a/test/support/calls.ts
+++ b/test/support/call_fixtures.ts
@@ -54,16 +54,16 @@
 }
 
 /** Keeps what a send brought, and tells when it is over. */
-export class KeptAnswer implements IResponseReceiver {
+export class RecordingReceiver implements IResponseReceiver {
   answerHead: IResponseHead | null = null;
   text = "";
   failure: SendFailure | null = null;
   detail = "";
-  readonly over: Promise<void>;
+  readonly finished: Promise<void>;
   #resolve: () => void = () => undefined;
 
   constructor() {
-    this.over = new Promise((resolve) => {
+    this.finished = new Promise((resolve) => {
       this.#resolve = resolve;
     });
   }
@@ -88,7 +88,7 @@
 }
 
 /** Keeps what a caller got. */
-export class KeptReply implements ICallReply {
+export class RecordingReply implements ICallReply {
   text = "";
   head: IResponseHead | null = null;
   isEnded = false;
--- a/test/support/caller.ts
+++ b/test/support/caller.ts
@@ -53,7 +53,7 @@
 }
 
 /** Milliseconds after which a refused caller is told to ask again. */
-export function retryAfter({ refusal }: IStreamReply): number {
+export function retryDelayOf({ refusal }: IStreamReply): number {
   const body = JSON.parse(refusal) as IReply["body"];
   return body.retry_after_ms ?? 0;
 }
@@ -73,14 +73,14 @@
 }
 
 /** Asks for a buffered answer. */
-export async function ask(call: ICall): Promise<IReply> {
+export async function sendCall(call: ICall): Promise<IReply> {
   const answer = await send(call);
   const body = (await answer.body.json()) as IReply["body"];
   return { status: answer.statusCode, body };
 }
 
 /** Asks for a stream and reads it to its end. */
-export async function askStream(call: ICall): Promise<IStreamReply> {
+export async function sendStreamCall(call: ICall): Promise<IStreamReply> {
   const answer = await send(call);
   let text = "";
   let refusal = "";
--- a/test/support/certificates.ts
+++ b/test/support/certificates.ts
@@ -10,13 +10,13 @@
 const KEY = { keyType: "ec", curve: "P-256", algorithm: "sha256" } as const;
 
 /** A certificate authority with a folder for what it signs. */
-export class TestAuthority {
+export class TestCertificateAuthority {
   readonly #folder = mkdtempSync(join(tmpdir(), "cranberryledge-tls-"));
-  #own = { key: "", cert: "" };
+  #keyPair = { key: "", cert: "" };
 
   /** Makes an authority with a key of its own. */
-  static async create(): Promise<TestAuthority> {
-    const authority = new TestAuthority();
+  static async create(): Promise<TestCertificateAuthority> {
+    const authority = new TestCertificateAuthority();
     const made = await generate(AUTHORITY_NAME, {
       ...KEY,
       extensions: [
@@ -24,24 +24,24 @@
         { name: "keyUsage", keyCertSign: true, digitalSignature: true },
       ],
     });
-    authority.#own = { key: made.private, cert: made.cert };
-    writeFileSync(authority.file("authority.pem"), made.cert);
+    authority.#keyPair = { key: made.private, cert: made.cert };
+    writeFileSync(authority.pathOf("authority.pem"), made.cert);
     return authority;
   }
 
-  file(name: string): string {
+  pathOf(name: string): string {
     return join(this.#folder, name);
   }
 
   get certificate(): string {
-    return this.#own.cert;
+    return this.#keyPair.cert;
   }
 
   /** Signs a certificate for 127.0.0.1 and writes it with its key. */
   async sign(name: string): Promise<{ certificate: string; key: string }> {
     const made = await generate(SUBJECT_NAME, {
       ...KEY,
-      ca: this.#own,
+      ca: this.#keyPair,
       extensions: [
         { name: "basicConstraints", cA: false },
         { name: "keyUsage", digitalSignature: true },
@@ -49,8 +49,8 @@
         { name: "subjectAltName", altNames: [{ type: 7, ip: "127.0.0.1" }] },
       ],
     });
-    const certificate = this.file(`${name}.pem`);
-    const key = this.file(`${name}.key`);
+    const certificate = this.pathOf(`${name}.pem`);
+    const key = this.pathOf(`${name}.key`);
     writeFileSync(certificate, made.cert);
     writeFileSync(key, made.private);
     return { certificate, key };
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -84,11 +84,11 @@
   }
 
   get platformAddress(): string {
-    return this.process("platform").field("address");
+    return this.process("platform").listeningField("address");
   }
 
   /** Names of processes that start with a prefix. */
-  names(prefix: string): readonly string[] {
+  processNames(prefix: string): readonly string[] {
     return [...this.#processes.keys()].filter((name) =>
       name.startsWith(prefix),
     );
@@ -112,21 +112,21 @@
   }
 
   async status(daemon: string): Promise<IStatus> {
-    const address = this.process(daemon).field("operations");
+    const address = this.process(daemon).listeningField("operations");
     const answer = await request(`http://${address}/status`);
     return (await answer.body.json()) as IStatus;
   }
 
   /** What a stand-in keeps of what it did. */
-  async record<T>(target: string): Promise<T> {
-    const address = this.process(target).field("address");
+  async fetchRecord<T>(target: string): Promise<T> {
+    const address = this.process(target).listeningField("address");
     const answer = await request(`http://${address}/record`);
     return (await answer.body.json()) as T;
   }
 
   /** Tells a stand-in which fault to meet, by its name. */
   async setFault(target: string, fault: string): Promise<void> {
-    const address = this.process(target).field("address");
+    const address = this.process(target).listeningField("address");
     const answer = await request(`http://${address}/fault`, {
       method: "PUT",
       body: JSON.stringify({ fault }),
@@ -137,17 +137,17 @@
   /** Kills a process without warning and waits until it is gone. */
   async kill(name: string): Promise<void> {
     this.process(name).signal("SIGKILL");
-    await this.process(name).exited();
+    await this.process(name).waitForExit();
   }
 
   /** Starts one more daemon, or one again after it was stopped. */
   async startDaemon(name: string, zone: string): Promise<ProcessHandle> {
-    const text = readFileSync(this.#example("entry.yaml"), "utf8");
+    const text = readFileSync(this.#examplePath("entry.yaml"), "utf8");
     const settings = parse(text) as Record<string, object>;
     const any = "127.0.0.1:0";
-    const platform = await this.#connect(`platform<${name}`);
-    this.link(`platform<${name}`).retarget(this.platformAddress);
-    const advertised = await this.#connect(`peers>${name}`);
+    const platform = await this.#linkAddress(`platform<${name}`);
+    this.link(`platform<${name}`).setTarget(this.platformAddress);
+    const advertised = await this.#linkAddress(`peers>${name}`);
     const path = join(this.#folder, `${name}.yaml`);
     const written = {
       ...settings,
@@ -158,7 +158,7 @@
         peers: any,
         peers_advertised: advertised,
         operations: any,
-        seeds: this.#seeds(name),
+        seeds: this.#seedAddresses(name),
       },
       platform: { address: platform },
       groups: { ...settings["groups"], spare_share: 0, ...this.#plan.groups },
@@ -167,28 +167,33 @@
       ...this.#plan.settings?.(name),
     };
     writeFileSync(path, stringify(written));
-    const handle = await this.#keep(name, "daemon/main.js", [path]);
-    this.link(`peers>${name}`).retarget(handle.field("peers"));
+    const handle = await this.#startProcess(name, "daemon/main.js", [path]);
+    this.link(`peers>${name}`).setTarget(handle.listeningField("peers"));
     return handle;
   }
 
   /** Starts an engine and puts it on the platform's list. */
   async startEngine(name: string, zone: string): Promise<ProcessHandle> {
-    const handle = await this.#keep(name, "stand_ins/engine_member/main.js", [
-      ...["--id", name],
-      ...(this.#plan.engineArguments ?? []),
-    ]);
+    const handle = await this.#startProcess(
+      name,
+      "stand_ins/engine_member/main.js",
+      [...["--id", name], ...(this.#plan.engineArguments ?? [])],
+    );
     await this.register(name, { zone, kind: "engine", service: "" });
     return handle;
   }
 
   /** Starts a plain service and puts it on the platform's list. */
   async startService(name: string, zone: string): Promise<ProcessHandle> {
-    const handle = await this.#keep(name, "stand_ins/plain_service/main.js", [
-      ...["--id", name],
-      ...["--record", join(this.#folder, `${name}.runs`)],
-      ...(this.#plan.serviceArguments ?? []),
-    ]);
+    const handle = await this.#startProcess(
+      name,
+      "stand_ins/plain_service/main.js",
+      [
+        ...["--id", name],
+        ...["--record", join(this.#folder, `${name}.runs`)],
+        ...(this.#plan.serviceArguments ?? []),
+      ],
+    );
     const service = this.#plan.plainService;
     await this.register(name, { zone, kind: "plain", service });
     return handle;
@@ -205,8 +210,10 @@
       readonly domain?: string;
     },
   ): Promise<void> {
-    const address = await this.#connect(`target>${name}`);
-    this.link(`target>${name}`).retarget(this.process(name).field("address"));
+    const address = await this.#linkAddress(`target>${name}`);
+    this.link(`target>${name}`).setTarget(
+      this.process(name).listeningField("address"),
+    );
     await registerInstance(this.platformAddress, {
       id: name,
       zone: entry.zone,
@@ -219,7 +226,7 @@
   }
 
   /** Runs the command-line tool; resolves with its exit code and output. */
-  async run(
+  async runCommandLine(
     ...words: readonly string[]
   ): Promise<{ code: number; output: string }> {
     const { execFile } = await import("node:child_process");
@@ -243,7 +250,7 @@
 
   async #startAll(): Promise<void> {
     const plan = this.#plan;
-    await this.#keep("platform", "stand_ins/object_api/main.js", []);
+    await this.#startProcess("platform", "stand_ins/object_api/main.js", []);
     await this.#applyLists();
     const starting: Promise<ProcessHandle>[] = [];
     for (const zone of plan.zones) {
@@ -257,7 +264,7 @@
     }
     await Promise.all(starting);
     for (const zone of plan.zones) {
-      await this.#allGroupsServe(zone);
+      await this.#waitForAllGroups(zone);
     }
   }
 
@@ -266,8 +273,8 @@
    * Engines may come onto the list one after the other; a test that began with
    * fewer groups would see the others form under its hands.
    */
-  async #allGroupsServe(zone: string): Promise<void> {
-    for (const daemon of this.names(`daemon-${zone}-`)) {
+  async #waitForAllGroups(zone: string): Promise<void> {
+    for (const daemon of this.processNames(`daemon-${zone}-`)) {
       await waitFor(`${daemon} sees all groups complete`, async () => {
         const { ready, groups } = await this.status(daemon);
         const isAll = groups.length === this.#groupsPerZone;
@@ -277,7 +284,7 @@
   }
 
   get #groupsPerZone(): number {
-    const text = readFileSync(this.#example("entry.yaml"), "utf8");
+    const text = readFileSync(this.#examplePath("entry.yaml"), "utf8");
     const { groups } = parse(text) as { groups: IGroupSettings };
     const { members, spare_share } = {
       ...groups,
@@ -289,8 +296,8 @@
   }
 
   /** Waits until every daemon is ready, and all groups that it sees complete. */
-  async allServe(): Promise<void> {
-    for (const daemon of this.names("daemon-")) {
+  async waitUntilServing(): Promise<void> {
+    for (const daemon of this.processNames("daemon-")) {
       await waitFor(`${daemon} sees complete groups`, async () => {
         const { ready, groups } = await this.status(daemon);
         const hasGroups = groups.length > 0 || this.#plan.enginesPerZone === 0;
@@ -301,9 +308,14 @@
 
   async #applyLists(): Promise<void> {
     for (const list of ["customers", "plans"]) {
-      const file = this.#example(`${list}.yaml`);
+      const file = this.#examplePath(`${list}.yaml`);
       const platform = ["--platform", this.platformAddress];
-      const result = await this.run("apply", list, file, ...platform);
+      const result = await this.runCommandLine(
+        "apply",
+        list,
+        file,
+        ...platform,
+      );
       if (result.code !== 0) {
         throw new Error(`apply ${list}: ${result.output}`);
       }
@@ -311,14 +323,14 @@
   }
 
   /** Where the other daemons' peer links listen. */
-  #seeds(name: string): readonly string[] {
+  #seedAddresses(name: string): readonly string[] {
     return [...this.#addresses]
       .filter(([link]) => link.startsWith("peers>") && !link.endsWith(name))
       .map(([, address]) => address);
   }
 
   /** The address of a link, made when first asked for. */
-  async #connect(name: string): Promise<string> {
+  async #linkAddress(name: string): Promise<string> {
     const known = this.#addresses.get(name);
     if (known !== undefined) {
       return known;
@@ -330,12 +342,12 @@
     return address;
   }
 
-  #example(file: string): string {
+  #examplePath(file: string): string {
     const folder = `../../examples/${this.#plan.example}/${file}`;
     return new URL(folder, import.meta.url).pathname;
   }
 
-  async #keep(
+  async #startProcess(
     name: string,
     program: string,
     words: readonly string[],
--- a/test/support/failure_evidence.ts
+++ b/test/support/failure_evidence.ts
@@ -10,23 +10,23 @@
 import { ProcessHandle } from "./process_handle.ts";
 
 /** Lines printed of each process: the last of them. */
-const LINES_PRINTED = 40;
+const TAIL_LINES = 40;
 
 /** The end of what each process has written. */
-export function tailOfProcesses(
+export function formatOutputTails(
   processes: Iterable<Pick<ProcessHandle, "name" | "output">>,
 ): string {
   return [...processes]
     .map(({ name, output }) => {
       const lines = output.trimEnd().split("\n");
-      const tail = lines.slice(-LINES_PRINTED);
+      const tail = lines.slice(-TAIL_LINES);
       return [`--- ${name}, ${lines.length} lines`, ...tail].join("\n");
     })
     .join("\n");
 }
 
 /** Writes a file a process and returns the folder. */
-function keepOutput(processes: readonly ProcessHandle[]): string {
+function saveOutput(processes: readonly ProcessHandle[]): string {
   const folder = mkdtempSync(join(tmpdir(), "cranberryledge-failed-"));
   for (const { name, output } of processes) {
     writeFileSync(join(folder, `${name}.log`), output);
@@ -43,7 +43,7 @@
     if (hasFailed && processes.length > 0) {
       process.stderr.write(
         `processes of "${test.fullTitle()}", whole in ` +
-          `${keepOutput(processes)}:\n${tailOfProcesses(processes)}\n`,
+          `${saveOutput(processes)}:\n${formatOutputTails(processes)}\n`,
       );
     }
   },
--- a/test/support/free_address.ts
+++ b/test/support/free_address.ts
@@ -7,18 +7,18 @@
  * could take a port between its choice and the start of its process.
  */
 export const FIRST_PORT = 15_000;
-export const PORTS = 15_000;
+export const PORT_COUNT = 15_000;
 
 /** Sets processes that choose at the same time apart. */
 const PORTS_PER_PROCESS = 37;
 
-let chosen = process.pid * PORTS_PER_PROCESS;
+let lastOffset = process.pid * PORTS_PER_PROCESS;
 
 /** An address of this machine on which nothing listens. */
 export async function freeAddress(): Promise<string> {
-  for (let tried = 0; tried < PORTS; tried += 1) {
-    chosen += 1;
-    const port = FIRST_PORT + (chosen % PORTS);
+  for (let tried = 0; tried < PORT_COUNT; tried += 1) {
+    lastOffset += 1;
+    const port = FIRST_PORT + (lastOffset % PORT_COUNT);
     if (await isFree(port)) {
       return `127.0.0.1:${port}`;
     }
@@ -28,14 +28,14 @@
 
 async function isFree(port: number): Promise<boolean> {
   const server = createServer();
-  const isListening = await listen(server, port);
+  const isListening = await tryListen(server, port);
   if (isListening) {
     await new Promise<void>((resolve) => server.close(() => resolve()));
   }
   return isListening;
 }
 
-function listen(server: Server, port: number): Promise<boolean> {
+function tryListen(server: Server, port: number): Promise<boolean> {
   return new Promise((resolve) => {
     server.once("error", () => resolve(false));
     server.listen(port, "127.0.0.1", () => resolve(true));
--- a/test/support/group_proof.ts
+++ b/test/support/group_checks.ts
@@ -2,22 +2,22 @@
 import { expect } from "chai";
 import { request } from "undici";
 import type { IDomainRecord } from "../../src/common/groups/types.ts";
-import type { IEngineDeed } from "../../src/stand_ins/engine_member/types.ts";
+import type { IEngineLogEntry } from "../../src/stand_ins/engine_member/types.ts";
 import { wholeText } from "../../src/stand_ins/engine_member/text.ts";
-import { ask } from "./caller.ts";
+import { sendCall } from "./caller.ts";
 import type { Deployment, IDeploymentPlan } from "./deployment.ts";
 import { waitFor } from "./process_handle.ts";
 
 const MEMBERS = 4;
 const TOKENS = 12;
-const PAUSE_BETWEEN_CALLS = 20;
+const RETRY_DELAY = 20;
 
 /** The one zone of these proofs, and its fabric domain. */
 export const ZONE = "vn-north-a";
 export const DOMAIN = "vn-north-a-fabric";
 
 /** Short leases, so that takeovers come within a second or two. */
-export const QUICK_GROUPS = {
+export const SHORT_LEASE_SETTINGS = {
   lease: "1500ms",
   takeover_margin: "600ms",
   renew_every: "400ms",
@@ -25,7 +25,7 @@
   replace_after: "1s",
   hold_after_loss: "1s",
 };
-const QUICK_POLLING = {
+const FAST_POLLING_SETTINGS = {
   targets: "100ms",
   instances: "300ms",
   domains: "200ms",
@@ -41,8 +41,8 @@
     daemonsPerZone: 2,
     plainService: "delivery-api",
     engineArguments: ["--load-time", "100"],
-    groups: QUICK_GROUPS,
-    polling: QUICK_POLLING,
+    groups: SHORT_LEASE_SETTINGS,
+    polling: FAST_POLLING_SETTINGS,
     ...change,
   };
 }
@@ -52,7 +52,7 @@
   deployment: Deployment,
 ): Promise<{ readonly holder: string; readonly others: readonly string[] }> {
   const daemons = deployment
-    .names("daemon-")
+    .processNames("daemon-")
     .filter((name) => !deployment.process(name).hasExited);
   let holder: string | undefined;
   await waitFor("one daemon holds the lease", async () => {
@@ -69,7 +69,7 @@
 }
 
 /** The domain's record as the platform holds it. */
-export async function readRecord(
+export async function readDomainRecord(
   deployment: Deployment,
 ): Promise<IDomainRecord> {
   const url = `http://${deployment.platformAddress}/objects/fabric_domains/${DOMAIN}`;
@@ -90,35 +90,35 @@
 }
 
 /** Calls one daemon after another until stopped, and judges each answer. */
-export class SteadyCaller {
+export class ContinuousCaller {
   readonly #deployment: Deployment;
-  readonly #ended: Promise<void>;
+  readonly #finished: Promise<void>;
   #isStopped = false;
   completed = 0;
-  readonly turnedAway: string[] = [];
+  readonly refusalReasons: string[] = [];
 
   constructor(deployment: Deployment, daemons: readonly string[]) {
     this.#deployment = deployment;
-    const callers = daemons.map((daemon) => this.#call(daemon));
-    this.#ended = Promise.all(callers).then(() => undefined);
+    const callers = daemons.map((daemon) => this.#callUntilStopped(daemon));
+    this.#finished = Promise.all(callers).then(() => undefined);
   }
 
   /** Waits until that many more requests have been completed. */
-  async completes(count: number): Promise<void> {
+  async waitForCompleted(count: number): Promise<void> {
     const wanted = this.completed + count;
     await waitFor(`${count} more answers`, () => this.completed >= wanted);
   }
 
   async stop(): Promise<void> {
     this.#isStopped = true;
-    await this.#ended;
+    await this.#finished;
   }
 
-  async #call(daemon: string): Promise<void> {
-    const address = this.#deployment.process(daemon).field("callers");
+  async #callUntilStopped(daemon: string): Promise<void> {
+    const address = this.#deployment.process(daemon).listeningField("callers");
     for (let index = 0; !this.#isStopped; index++) {
       const prompt = `${daemon} ${index}`;
-      const reply = await ask({
+      const reply = await sendCall({
         address,
         credential: "editor-desk-secret",
         operation: "summarizer/headline",
@@ -129,8 +129,8 @@
         expect(reply.body.answer).to.deep.equal({ text, tokens: TOKENS });
         this.completed += 1;
       } else {
-        this.turnedAway.push(reply?.body.reason ?? "no answer");
-        await new Promise((done) => setTimeout(done, PAUSE_BETWEEN_CALLS));
+        this.refusalReasons.push(reply?.body.reason ?? "no answer");
+        await new Promise((done) => setTimeout(done, RETRY_DELAY));
       }
     }
   }
@@ -139,21 +139,21 @@
 /** What one engine did, with its name. */
 export interface IEngineRecord {
   readonly engine: string;
-  readonly deeds: readonly IEngineDeed[];
+  readonly deeds: readonly IEngineLogEntry[];
 }
 
 /** The records of the engines that can still be asked. */
-export async function engineRecords(
+export async function fetchEngineRecords(
   deployment: Deployment,
 ): Promise<readonly IEngineRecord[]> {
   const engines = deployment
-    .names("engine-")
+    .processNames("engine-")
     .filter((name) => !deployment.process(name).hasExited);
   return Promise.all(
     engines.map(async (engine) => {
-      const { deeds } = await deployment.record<{ deeds: IEngineDeed[] }>(
-        engine,
-      );
+      const { deeds } = await deployment.fetchRecord<{
+        deeds: IEngineLogEntry[];
+      }>(engine);
       return { engine, deeds };
     }),
   );
@@ -165,12 +165,12 @@
  *
  * @param restarted - engines whose records were lost with a process of theirs
  */
-export async function judgeWhole(
+export async function expectAllMembersWorked(
   deployment: Deployment,
   restarted: readonly string[] = [],
 ): Promise<void> {
-  const records = await engineRecords(deployment);
-  const names = await engineNames(deployment);
+  const records = await fetchEngineRecords(deployment);
+  const names = await fetchEngineNames(deployment);
   const worked = new Set<string>();
   for (const { engine, deeds } of records) {
     deeds
@@ -197,7 +197,7 @@
 }
 
 /** Names of engines by the address at which others reach them. */
-async function engineNames(
+async function fetchEngineNames(
   deployment: Deployment,
 ): Promise<ReadonlyMap<string, string>> {
   const answer = await request(
@@ -210,7 +210,9 @@
 }
 
 /** Judges that no engine obeyed an order of an older epoch after a newer. */
-export function judgeEpochs(records: readonly IEngineRecord[]): void {
+export function expectEpochsNonDecreasing(
+  records: readonly IEngineRecord[],
+): void {
   for (const { engine, deeds } of records) {
     const epochs = deeds
       .filter(({ kind }) => kind === "joined" || kind === "released")
@@ -220,6 +222,6 @@
   }
 }
 
-function keyOf(deed: IEngineDeed): string {
+function keyOf(deed: IEngineLogEntry): string {
   return `${deed.requestId} ${deed.group} ${deed.generation}`;
 }
--- a/test/support/model_calls_play.ts
+++ b/test/support/model_calls_harness.ts
@@ -13,10 +13,10 @@
   IEngineProfile,
   ISendOptions,
 } from "../../src/common/calls/types.ts";
-import { callOf, KeptReply } from "./calls.ts";
-import { LARGE } from "./engines.ts";
+import { callOf, RecordingReply } from "./call_fixtures.ts";
+import { LARGE } from "./engine_fixtures.ts";
 import { ManualClock } from "./manual_clock.ts";
-import { KeptLog, NO_METRICS } from "./quiet_services.ts";
+import { RecordingLog, NO_METRICS } from "./recording_services.ts";
 import { SeededRandom } from "./seeded_random.ts";
 
 const ENGINE: IEngineProfile = {
@@ -37,7 +37,7 @@
 };
 
 /** The head of a successful answer. */
-export const HEAD: IResponseHead = {
+export const SUCCESS_HEAD: IResponseHead = {
   status: 200,
   headers: [],
   isNotRun: false,
@@ -46,7 +46,7 @@
 };
 
 /** A group whose head is named after it. */
-export function group(name: string): IServingGroup {
+export function servingGroup(name: string): IServingGroup {
   return {
     group: name,
     service: "summaries",
@@ -61,7 +61,7 @@
 }
 
 /** One send that the calls made. */
-export interface ISend {
+export interface IRecordedSend {
   readonly target: string;
   /** The id of the call. */
   readonly call: string;
@@ -70,15 +70,15 @@
 }
 
 /** The calls of one process; its targets do what the test tells them. */
-export class ModelCallsPlay {
+export class ModelCallsHarness {
   readonly clock = new ManualClock();
-  readonly log = new KeptLog();
+  readonly log = new RecordingLog();
   readonly groups = new ServingGroups();
-  readonly sends: ISend[] = [];
+  readonly sends: IRecordedSend[] = [];
   readonly calls: ModelCalls;
 
   constructor(names: readonly string[], slack = 100) {
-    this.groups.replace(names.map(group));
+    this.groups.replace(names.map(servingGroup));
     this.groups.setOthersInFlight(new Map());
     this.calls = new ModelCalls({
       groups: this.groups,
@@ -110,14 +110,17 @@
     this.clock.every(CHECK_PERIOD, () => this.calls.check());
   }
 
-  take(part: Partial<ICall> = {}): { reply: KeptReply; leave: () => void } {
-    const reply = new KeptReply();
+  submit(part: Partial<ICall> = {}): {
+    reply: RecordingReply;
+    leave: () => void;
+  } {
+    const reply = new RecordingReply();
     const now = this.clock.now();
     const call = callOf({ arrivedAt: now, deadline: now + 8_000, ...part });
     return { reply, leave: this.calls.submit(call, reply) };
   }
 
-  send(index: number): ISend {
+  getSend(index: number): IRecordedSend {
     const send = this.sends[index];
     if (send === undefined) {
       throw new Error(`send ${index} was not made`);
@@ -125,8 +128,8 @@
     return send;
   }
 
-  event(index: number, id: number): void {
-    const { receiver } = this.send(index).options;
+  deliverEvent(index: number, id: number): void {
+    const { receiver } = this.getSend(index).options;
     const text = `id: ${id}\ndata: x\n\n`;
     receiver.onData(new TextEncoder().encode(text));
   }
--- a/test/support/operator.ts
+++ b/test/support/operator.ts
@@ -34,7 +34,7 @@
   }
 
   /** Brings about faults of the platform; resolves with its version. */
-  async control(faults: IFaultControl): Promise<number> {
+  async setFaults(faults: IFaultControl): Promise<number> {
     const answer = await request(`http://${this.#address}/control`, {
       method: "PUT",
       headers: { "content-type": "application/json" },
@@ -44,7 +44,7 @@
   }
 
   /** Calls the platform has taken so far, by kind of call. */
-  async counts(): Promise<Readonly<Record<string, number>>> {
+  async fetchCallCounts(): Promise<Readonly<Record<string, number>>> {
     const answer = await request(`http://${this.#address}/counts`);
     return (await answer.body.json()) as Record<string, number>;
   }
--- a/test/support/platform_engine.ts
+++ b/test/support/platform_engine.ts
@@ -1,7 +1,7 @@
 /** An engine member that speaks the users' platform's form. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
-import { addressOfServer } from "../../src/adapters/listen.ts";
+import { listenOn } from "../../src/adapters/listen.ts";
 import type { PlatformStore } from "./platform_store.ts";
 
 /** Milliseconds between two events of a stream. */
@@ -19,28 +19,28 @@
   readonly id: string;
   readonly #server: Server;
   readonly #service: string;
-  readonly #events: number;
+  readonly #eventCount: number;
   #address = "";
   #group: IGroup | null = null;
   #model: string | null = null;
   #staged: string[] = [];
   /** While true nothing moves and nothing is answered. */
-  isStill = false;
+  isStalled = false;
   /** Ids of the attempts that began to run here. */
-  readonly ran: string[] = [];
+  readonly attempts: string[] = [];
 
   /** @param events - how many a whole stream has */
   constructor(id: string, service: string, events: number) {
     this.id = id;
     this.#service = service;
-    this.#events = events;
+    this.#eventCount = events;
     this.#server = createServer((request, response) => {
-      void this.#answer(request, response);
+      void this.#handleRequest(request, response);
     });
   }
 
   async listen(store: PlatformStore): Promise<void> {
-    this.#address = await addressOfServer(this.#server, "127.0.0.1:0");
+    this.#address = await listenOn(this.#server, "127.0.0.1:0");
     store.put("servers", this.id, {
       service: this.#service,
       address: this.#address,
@@ -70,11 +70,11 @@
     };
   }
 
-  async #answer(
+  async #handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    if (this.isStill) {
+    if (this.isStalled) {
       return;
     }
     let text = "";
@@ -84,7 +84,9 @@
     if (request.url === "/report") {
       response.end(JSON.stringify(this.#report()));
     } else if (request.url === "/order") {
-      const isDone = this.#order(JSON.parse(text) as Record<string, unknown>);
+      const isDone = this.#applyOrder(
+        JSON.parse(text) as Record<string, unknown>,
+      );
       response.writeHead(isDone ? 200 : 409).end();
     } else if (this.#group?.rank === 0 && this.#group.state === "open") {
       this.#stream(request, response);
@@ -93,7 +95,7 @@
     }
   }
 
-  #order(order: Record<string, unknown>): boolean {
+  #applyOrder(order: Record<string, unknown>): boolean {
     const { op, group, epoch, model, members } = order;
     if (op === "join") {
       const rank = (members as string[]).indexOf(this.id);
@@ -120,7 +122,7 @@
 
   #stream(request: IncomingMessage, response: ServerResponse): void {
     const attempt = String(request.headers["x-attempt-id"]);
-    this.ran.push(attempt);
+    this.attempts.push(attempt);
     response.writeHead(200, {
       "content-type": "text/event-stream",
       "x-attempt-id": attempt,
@@ -128,12 +130,12 @@
     });
     let id = Number(request.headers["last-event-id"] ?? 0);
     const timer = setInterval(() => {
-      if (this.isStill) {
+      if (this.isStalled) {
         return;
       }
       id += 1;
       response.write(`id: ${id}\ndata: piece ${id}\n\n`);
-      if (id >= this.#events) {
+      if (id >= this.#eventCount) {
         clearInterval(timer);
         response.end();
       }
--- a/test/support/platform_store.ts
+++ b/test/support/platform_store.ts
@@ -1,7 +1,7 @@
 /** A store that speaks the users' platform's form, kept in memory. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
-import { addressOfServer } from "../../src/adapters/listen.ts";
+import { listenOn } from "../../src/adapters/listen.ts";
 
 interface IStoredObject {
   readonly kind: string;
@@ -19,19 +19,19 @@
   readonly #server: Server;
   readonly #objects = new Map<string, IStoredObject>();
   readonly #events: IStoredEvent[] = [];
-  readonly #waiting = new Set<() => void>();
+  readonly #watchers = new Set<() => void>();
   #revision = 1;
   /** Answers 503 to everything while true. */
-  isAway = false;
+  isUnavailable = false;
 
   constructor() {
     this.#server = createServer((request, response) => {
-      void this.#answer(request, response);
+      void this.#handleRequest(request, response);
     });
   }
 
   listen(): Promise<string> {
-    return addressOfServer(this.#server, "127.0.0.1:0");
+    return listenOn(this.#server, "127.0.0.1:0");
   }
 
   /** Writes as the operator and the targets do. */
@@ -39,7 +39,7 @@
     this.#revision += 1;
     const object = { kind, name, revision: this.#revision, spec };
     this.#objects.set(`${kind}/${name}`, object);
-    this.#tell({ ...object, removed: false });
+    this.#publish({ ...object, removed: false });
     return this.#revision;
   }
 
@@ -48,36 +48,36 @@
     if (object !== undefined) {
       this.#objects.delete(`${kind}/${name}`);
       this.#revision += 1;
-      this.#tell({ ...object, revision: this.#revision, removed: true });
+      this.#publish({ ...object, revision: this.#revision, removed: true });
     }
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.#waiting.forEach((wake) => wake());
+    this.#watchers.forEach((wake) => wake());
     this.#server.closeAllConnections();
     await new Promise<void>((resolve) => this.#server.close(() => resolve()));
   }
 
-  #tell(event: IStoredEvent): void {
+  #publish(event: IStoredEvent): void {
     this.#events.push(event);
-    this.#waiting.forEach((wake) => wake());
+    this.#watchers.forEach((wake) => wake());
   }
 
-  async #answer(
+  async #handleRequest(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
     const url = new URL(request.url ?? "/", "http://store");
     const [, , kind = "", name] = url.pathname.split("/");
-    if (this.isAway) {
+    if (this.isUnavailable) {
       response.writeHead(503).end();
     } else if (request.method === "POST" || request.method === "PUT") {
-      await this.#write(request, response, kind);
+      await this.#handleWrite(request, response, kind);
     } else if (name !== undefined) {
       const object = this.#objects.get(`${kind}/${name}`);
       send(response, object ? 200 : 404, object ? encode(object) : {});
     } else if (url.searchParams.has("watch")) {
-      await this.#watch(response, kind, url.searchParams);
+      await this.#handleWatch(response, kind, url.searchParams);
     } else {
       const items = [...this.#objects.values()].filter(
         (object) => object.kind === kind,
@@ -87,7 +87,7 @@
     }
   }
 
-  async #write(
+  async #handleWrite(
     request: IncomingMessage,
     response: ServerResponse,
     kind: string,
@@ -110,7 +110,7 @@
     send(response, 200, written ? encode(written) : {});
   }
 
-  async #watch(
+  async #handleWatch(
     response: ServerResponse,
     kind: string,
     query: URLSearchParams,
@@ -123,10 +123,10 @@
         const timer = setTimeout(() => wake(), Number(query.get("waitMs")));
         const wake = () => {
           clearTimeout(timer);
-          this.#waiting.delete(wake);
+          this.#watchers.delete(wake);
           resolve();
         };
-        this.#waiting.add(wake);
+        this.#watchers.add(wake);
       });
     }
     const events = newer().map((event) => ({
--- a/test/support/process_handle.ts
+++ b/test/support/process_handle.ts
@@ -4,8 +4,8 @@
 import { setTimeout as sleep } from "node:timers/promises";
 
 /** Overall bound on any wait, milliseconds; generous, since CI may be busy. */
-const WAIT_BOUND = 60_000;
-const WAIT_STEP = 25;
+const WAIT_TIMEOUT = 60_000;
+const POLL_INTERVAL = 25;
 
 /** What programs write once they listen. */
 const STARTED = /event=(listening|started)\b/;
@@ -15,12 +15,12 @@
   description: string,
   condition: () => boolean | Promise<boolean>,
 ): Promise<void> {
-  const steps = WAIT_BOUND / WAIT_STEP;
+  const steps = WAIT_TIMEOUT / POLL_INTERVAL;
   for (let step = 0; step < steps; step++) {
     if (await condition()) {
       return;
     }
-    await sleep(WAIT_STEP);
+    await sleep(POLL_INTERVAL);
   }
   throw new Error(`did not come about: ${description}`);
 }
@@ -86,7 +86,7 @@
   }
 
   /** A field of the line that says where the program listens. */
-  field(key: string): string {
+  listeningField(key: string): string {
     const line = this.#output
       .split("\n")
       .find((text) => text.includes("event=listening"));
@@ -102,7 +102,7 @@
   }
 
   /** Waits until the process has exited by itself. */
-  exited(): Promise<void> {
+  waitForExit(): Promise<void> {
     return waitFor(`${this.name} exits`, () => this.#hasExited);
   }
 
@@ -110,7 +110,7 @@
     if (!this.#hasExited) {
       this.#child.kill("SIGCONT");
       this.#child.kill("SIGKILL");
-      await this.exited();
+      await this.waitForExit();
     }
   }
 }
--- a/test/support/raw_target.ts
+++ b/test/support/raw_target.ts
@@ -1,10 +1,10 @@
 /** A target that answers with bytes of the test's choosing. */
 import { createServer } from "node:net";
 import type { Server, Socket } from "node:net";
-import { addressOfServer } from "../../src/adapters/listen.ts";
+import { listenOn } from "../../src/adapters/listen.ts";
 
 /** Called with each piece that arrives on a connection. */
-export type RawAnswer = (text: string, socket: Socket) => void;
+export type RawDataHandler = (text: string, socket: Socket) => void;
 
 /** Listens on a free port until it is disposed of. */
 export class RawTarget {
@@ -14,7 +14,7 @@
   received = "";
   connections = 0;
 
-  constructor(answer: RawAnswer) {
+  constructor(answer: RawDataHandler) {
     this.#server = createServer((socket) => {
       this.connections += 1;
       this.#sockets.add(socket);
@@ -29,7 +29,7 @@
   }
 
   listen(): Promise<string> {
-    return addressOfServer(this.#server, "127.0.0.1:0");
+    return listenOn(this.#server, "127.0.0.1:0");
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
--- a/test/support/quiet_services.ts
+++ b/test/support/recording_services.ts
@@ -6,7 +6,7 @@
 } from "../../src/common/services/services.ts";
 
 /** Keeps log lines. */
-export class KeptLog implements ILog {
+export class RecordingLog implements ILog {
   readonly lines: { readonly event: string; readonly fields: LogFields }[] = [];
 
   info(event: string, fields: LogFields = {}): void {
@@ -22,7 +22,7 @@
   }
 
   /** Fields of the lines of one event. */
-  of(event: string): readonly LogFields[] {
+  fieldsOf(event: string): readonly LogFields[] {
     return this.lines
       .filter((line) => line.event === event)
       .map(({ fields }) => fields);
--- a/test/support/member_network.ts
+++ b/test/support/simulated_network.ts
@@ -18,12 +18,12 @@
 import type { IHash, IRandom } from "../../src/common/services/services.ts";
 
 /** One node, with what the network does to it. */
-export interface INode {
+export interface ISimulatedNode {
   readonly member: IMember;
   readonly membership: SwimMembership;
   isUp: boolean;
   /** Nodes of different sides do not reach one another. */
-  side: number;
+  partition: number;
 }
 
 /** Conditions of the network. */
@@ -31,26 +31,26 @@
   readonly random: IRandom;
   readonly hash: IHash;
   /** Share of messages lost, each way on its own. */
-  readonly loss: number;
+  readonly lossRate: number;
   /** Longest time a message takes, milliseconds. */
-  readonly delay: number;
+  readonly maximumDelay: number;
   /** Told each message sent, for counting. */
-  readonly onSent?: (from: IMember, message: IMemberMessage) => void;
+  readonly onMessageSent?: (from: IMember, message: IMemberMessage) => void;
   /** Told each whole view sent. */
-  readonly onView?: (from: IMember, view: readonly IMemberUpdate[]) => void;
+  readonly onViewSent?: (from: IMember, view: readonly IMemberUpdate[]) => void;
 }
 
-interface IEvent {
+interface IScheduledEvent {
   readonly at: number;
   readonly run: () => void;
 }
 
 /** The nodes, the clock and what is under way. */
-export class MemberNetwork {
+export class SimulatedNetwork {
   readonly #options: INetworkOptions;
-  readonly #nodes = new Map<string, INode>();
+  readonly #nodes = new Map<string, ISimulatedNode>();
   /** A binary heap by time. */
-  readonly #events: IEvent[] = [];
+  readonly #events: IScheduledEvent[] = [];
   #now = 0;
 
   constructor(options: INetworkOptions) {
@@ -61,12 +61,16 @@
     return this.#now;
   }
 
-  get nodes(): readonly INode[] {
+  get nodes(): readonly ISimulatedNode[] {
     return [...this.#nodes.values()];
   }
 
   /** Adds a node that starts probing at a random moment of a period. */
-  add(name: string, zone: string, contacts: readonly IMember[]): INode {
+  addNode(
+    name: string,
+    zone: string,
+    contacts: readonly IMember[],
+  ): ISimulatedNode {
     const member = { daemon: name, zone, peerAddress: `10.0.0.1:${name}` };
     const { random, hash } = this.#options;
     const membership = new SwimMembership(member, MEMBERSHIP_TIMING, {
@@ -74,10 +78,15 @@
       hash,
     });
     membership.addContacts(contacts);
-    const node: INode = { member, membership, isUp: true, side: 0 };
+    const node: ISimulatedNode = {
+      member,
+      membership,
+      isUp: true,
+      partition: 0,
+    };
     this.#nodes.set(name, node);
     const phase = random.next() * MEMBERSHIP_TIMING.period;
-    this.#after(phase, () => this.#tick(node));
+    this.#schedule(phase, () => this.#tick(node));
     return node;
   }
 
@@ -90,7 +99,7 @@
         this.#now = end;
         return until?.() ?? true;
       }
-      this.#take();
+      this.#popEvent();
       this.#now = event.at;
       event.run();
       if (until?.()) {
@@ -99,14 +108,17 @@
     }
   }
 
-  #tick(node: INode): void {
+  #tick(node: ISimulatedNode): void {
     if (node.isUp) {
-      this.#perform(node, node.membership.tick(this.#now));
+      this.#performActions(node, node.membership.tick(this.#now));
     }
-    this.#after(MEMBERSHIP_TIMING.period, () => this.#tick(node));
+    this.#schedule(MEMBERSHIP_TIMING.period, () => this.#tick(node));
   }
 
-  #perform(node: INode, actions: readonly MembershipAction[]): void {
+  #performActions(
+    node: ISimulatedNode,
+    actions: readonly MembershipAction[],
+  ): void {
     for (const action of actions) {
       switch (action.kind) {
         case MembershipActionKind.Probe:
@@ -125,23 +137,23 @@
   }
 
   #probe(
-    node: INode,
+    node: ISimulatedNode,
     action: MembershipAction & { kind: MembershipActionKind.Probe },
   ): void {
     const { probe, target, message } = action;
-    const settle = this.#settleOnce(node, probe, PROBE_TIMEOUT);
-    this.#ask(node, target, message, settle);
+    const settle = this.#createProbeSettler(node, probe, PROBE_TIMEOUT);
+    this.#sendProbe(node, target, message, settle);
   }
 
   #probeThrough(
-    node: INode,
+    node: ISimulatedNode,
     action: MembershipAction & { kind: MembershipActionKind.ProbeThrough },
   ): void {
     const { probe, relay, target, message } = action;
-    const settle = this.#settleOnce(node, probe, PROBE_TIMEOUT);
+    const settle = this.#createProbeSettler(node, probe, PROBE_TIMEOUT);
     this.#send(node, relay, message, (relaying) => {
       const sent = this.#now;
-      this.#ask(relaying, target, message, (answer) => {
+      this.#sendProbe(relaying, target, message, (answer) => {
         if (this.#now - sent <= RELAYED_PROBE_TIMEOUT) {
           this.#send(relaying, node.member, answer, () => settle(answer));
         }
@@ -149,41 +161,44 @@
     });
   }
 
-  #ask(
-    node: INode,
+  #sendProbe(
+    node: ISimulatedNode,
     target: IMember,
     message: IMemberMessage,
     answered: (answer: IMemberMessage) => void,
   ): void {
     this.#send(node, target, message, (other) => {
-      this.#perform(other, other.membership.handleProbe(message, this.#now));
+      this.#performActions(
+        other,
+        other.membership.handleProbe(message, this.#now),
+      );
       const answer = other.membership.composeAnswer(message.from.member.daemon);
       this.#send(other, node.member, answer, () => answered(answer));
     });
   }
 
-  #synchronize(node: INode, target: IMember): void {
+  #synchronize(node: ISimulatedNode, target: IMember): void {
     const other = this.#nodes.get(target.daemon);
-    if (other === undefined || !this.#passes(node, other)) {
+    if (other === undefined || !this.#canReach(node, other)) {
       return;
     }
     const { view } = other.membership;
-    this.#options.onView?.(target, view);
-    this.#after(this.#options.delay, () =>
-      this.#perform(node, node.membership.mergeView(view, this.#now)),
+    this.#options.onViewSent?.(target, view);
+    this.#schedule(this.#options.maximumDelay, () =>
+      this.#performActions(node, node.membership.mergeView(view, this.#now)),
     );
   }
 
-  #settleOnce(
-    node: INode,
+  #createProbeSettler(
+    node: ISimulatedNode,
     probe: number,
     timeout: number,
   ): (answer: IMemberMessage) => void {
     let isSettled = false;
-    this.#after(timeout, () => {
+    this.#schedule(timeout, () => {
       if (!isSettled && node.isUp) {
         isSettled = true;
-        this.#perform(
+        this.#performActions(
           node,
           node.membership.handleProbeFailure(probe, this.#now),
         );
@@ -193,35 +208,41 @@
       if (!isSettled) {
         isSettled = true;
         const { membership } = node;
-        this.#perform(node, membership.handleAnswer(probe, answer, this.#now));
+        this.#performActions(
+          node,
+          membership.handleAnswer(probe, answer, this.#now),
+        );
       }
     };
   }
 
   #send(
-    from: INode,
+    from: ISimulatedNode,
     to: IMember,
     message: IMemberMessage,
-    arrived: (at: INode) => void,
+    arrived: (at: ISimulatedNode) => void,
   ): void {
-    this.#options.onSent?.(from.member, message);
+    this.#options.onMessageSent?.(from.member, message);
     const other = this.#nodes.get(to.daemon);
-    const isLost = this.#options.random.next() < this.#options.loss;
-    if (other === undefined || isLost || !this.#passes(from, other)) {
+    const isLost = this.#options.random.next() < this.#options.lossRate;
+    if (other === undefined || isLost || !this.#canReach(from, other)) {
       return;
     }
-    this.#after(this.#options.random.next() * this.#options.delay, () => {
-      if (other.isUp) {
-        arrived(other);
-      }
-    });
+    this.#schedule(
+      this.#options.random.next() * this.#options.maximumDelay,
+      () => {
+        if (other.isUp) {
+          arrived(other);
+        }
+      },
+    );
   }
 
-  #passes(from: INode, to: INode): boolean {
-    return from.isUp && to.isUp && from.side === to.side;
+  #canReach(from: ISimulatedNode, to: ISimulatedNode): boolean {
+    return from.isUp && to.isUp && from.partition === to.partition;
   }
 
-  #after(delay: number, run: () => void): void {
+  #schedule(delay: number, run: () => void): void {
     const events = this.#events;
     events.push({ at: this.#now + delay, run });
     let index = events.length - 1;
@@ -235,7 +256,7 @@
     }
   }
 
-  #take(): void {
+  #popEvent(): void {
     const events = this.#events;
     const last = events.pop();
     if (last === undefined || events.length === 0) {
--- a/test/support/version_sampler.ts
+++ b/test/support/version_sampler.ts
@@ -3,13 +3,13 @@
 import { request } from "undici";
 import type { IDaemonStatus } from "../../src/common/services/daemon_status.ts";
 
-const SAMPLE_EVERY = 50;
+const SAMPLE_INTERVAL = 50;
 
 /** Notes every step back of a version while it runs. */
 export class VersionSampler {
   readonly #addresses: readonly string[];
   readonly #highest = new Map<string, number>();
-  readonly stepsBack: string[] = [];
+  readonly regressions: string[] = [];
   #isRunning = true;
   readonly #done: Promise<void>;
 
@@ -26,19 +26,21 @@
 
   async #run(): Promise<void> {
     while (this.#isRunning) {
-      await Promise.all(this.#addresses.map((address) => this.#look(address)));
-      await sleep(SAMPLE_EVERY);
+      await Promise.all(
+        this.#addresses.map((address) => this.#sample(address)),
+      );
+      await sleep(SAMPLE_INTERVAL);
     }
   }
 
-  async #look(address: string): Promise<void> {
+  async #sample(address: string): Promise<void> {
     const answer = await request(`http://${address}/status`);
     const { id, lists } = (await answer.body.json()) as IDaemonStatus;
     for (const { list, version } of lists) {
       const key = `${id} ${list}`;
       const highest = this.#highest.get(key) ?? 0;
       if (version < highest) {
-        this.stepsBack.push(`${key}: ${highest} to ${version}`);
+        this.regressions.push(`${key}: ${highest} to ${version}`);
       }
       this.#highest.set(key, Math.max(version, highest));
     }
--- a/test/tls_test.ts
+++ b/test/tls_test.ts
@@ -3,7 +3,7 @@
 import { expect } from "chai";
 import { Agent, request } from "undici";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
-import { TestAuthority } from "./support/certificates.ts";
+import { TestCertificateAuthority } from "./support/certificates.ts";
 import { Deployment } from "./support/deployment.ts";
 import { waitFor } from "./support/process_handle.ts";
 
@@ -29,16 +29,16 @@
   const platform = ["--platform", deployment.platformAddress];
   const from = await plansVersion(deployment, TRUSTED);
   const words = ["apply", "plans", file.pathname, "--edited-from", `${from}`];
-  const applied = await deployment.run(...words, ...platform);
+  const applied = await deployment.runCommandLine(...words, ...platform);
   expect(applied.code, applied.output).to.equal(0);
   return Number(/version=(\d+)/.exec(applied.output)?.[1]);
 }
 
 async function authenticatedCall(
   deployment: Deployment,
-  authority: TestAuthority,
+  authority: TestCertificateAuthority,
 ): Promise<number> {
-  const address = deployment.process(TRUSTED).field("callers");
+  const address = deployment.process(TRUSTED).listeningField("callers");
   const url = `https://${address}/v1/services/delivery-api/feed`;
   const agent = new Agent({ connect: { ca: authority.certificate } });
   const answer = await request(url, {
@@ -57,13 +57,13 @@
   // roll-out or by an intruder. Trusted daemons must neither tell it anything
   // nor believe it; a user would otherwise be served by a forged plan list.
   it("serves callers, and passes lists on among trusted peers only", async () => {
-    using authority = await TestAuthority.create();
-    using elsewhere = await TestAuthority.create();
+    using authority = await TestCertificateAuthority.create();
+    using elsewhere = await TestCertificateAuthority.create();
     const callers = await authority.sign("callers");
     const own = await authority.sign("peers");
     const foreign = await elsewhere.sign("peers");
-    const root = authority.file("authority.pem");
-    const foreignRoot = elsewhere.file("authority.pem");
+    const root = authority.pathOf("authority.pem");
+    const foreignRoot = elsewhere.pathOf("authority.pem");
     await using deployment = await Deployment.start({
       example: "song_lam",
       zones: [ZONE],
--- a/test/whole_answers_test.ts
+++ b/test/whole_answers_test.ts
@@ -6,10 +6,10 @@
  */
 import { expect } from "chai";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
-import { StreamFault } from "../src/stand_ins/engine_member/stream_fault.ts";
+import { StreamFault } from "../src/stand_ins/engine_member/stream_fault_injector.ts";
 import { wholeText } from "../src/stand_ins/engine_member/text.ts";
-import type { IEngineDeed } from "../src/stand_ins/engine_member/types.ts";
-import { ask, askStream, longBrief } from "./support/caller.ts";
+import type { IEngineLogEntry } from "../src/stand_ins/engine_member/types.ts";
+import { sendCall, sendStreamCall, longBrief } from "./support/caller.ts";
 import type { IStreamReply } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import { waitFor } from "./support/process_handle.ts";
@@ -39,16 +39,16 @@
   after(() => deployment[Symbol.asyncDispose]());
 
   afterEach(async () => {
-    for (const engine of deployment.names("engine-")) {
+    for (const engine of deployment.processNames("engine-")) {
       deployment.process(engine).signal("SIGCONT");
       deployment.link(`target>${engine}`).setMode(LinkMode.Pass);
       await deployment.setFault(engine, StreamFault.None);
     }
-    await deployment.allServe();
+    await deployment.waitUntilServing();
   });
 
   function caller(id: string, tokens = TOKENS) {
-    const address = deployment.process(DAEMON).field("callers");
+    const address = deployment.process(DAEMON).listeningField("callers");
     return longBrief(address, { id, tokens });
   }
 
@@ -68,9 +68,9 @@
     expect(reply).to.include({ isWhole: true, wasReset: false, text: whole });
   }
 
-  async function deeds(engine: string): Promise<readonly IEngineDeed[]> {
-    const record = await deployment.record<{
-      deeds: readonly IEngineDeed[];
+  async function deeds(engine: string): Promise<readonly IEngineLogEntry[]> {
+    const record = await deployment.fetchRecord<{
+      deeds: readonly IEngineLogEntry[];
     }>(engine);
     return record.deeds;
   }
@@ -79,7 +79,7 @@
   async function leaderOf(id: string): Promise<string> {
     let leader = "";
     await waitFor(`${id} has begun`, async () => {
-      for (const engine of deployment.names("engine-")) {
+      for (const engine of deployment.processNames("engine-")) {
         const began = (await deeds(engine)).some(
           ({ kind, requestId }) => kind === "began" && requestId === id,
         );
@@ -98,7 +98,7 @@
     const onFirstText = () => {
       hasText = true;
     };
-    const reply = askStream({ ...caller(id), onFirstText });
+    const reply = sendStreamCall({ ...caller(id), onFirstText });
     await waitFor(`${id} has text`, () => hasText);
     return { reply, leader: await leaderOf(id) };
   }
@@ -115,21 +115,21 @@
     // The engine closes its answer early, as if it were whole.
     StreamFault.EndEarly,
     // An event of another request's answer comes in between.
-    StreamFault.Cross,
+    StreamFault.ForeignEvent,
     // An event is delivered twice, or never, or does not parse.
-    StreamFault.Duplicate,
-    StreamFault.Gap,
-    StreamFault.Garble,
+    StreamFault.DuplicateEvent,
+    StreamFault.MissingEvent,
+    StreamFault.MalformedEvent,
   ];
   for (const fault of FAULTS) {
     it(`are sent though an engine's stream meets ${fault}`, async () => {
-      for (const engine of deployment.names("engine-")) {
+      for (const engine of deployment.processNames("engine-")) {
         await deployment.setFault(engine, fault);
       }
       const id = freshId();
-      check(await askStream(caller(id)), id);
+      check(await sendStreamCall(caller(id)), id);
       const buffered = freshId();
-      const reply = await ask({
+      const reply = await sendCall({
         ...caller(buffered),
         operation: "summarizer/headline",
       });
@@ -143,14 +143,14 @@
   // Every group breaks off at the same place, time and again. The caller must
   // see a broken connection: a plain close would look like a short answer.
   it("are never feigned when all groups break off", async () => {
-    for (const engine of deployment.names("engine-")) {
+    for (const engine of deployment.processNames("engine-")) {
       await deployment.setFault(engine, StreamFault.ResetAlways);
     }
     const id = freshId();
-    const reply = await askStream(caller(id));
+    const reply = await sendStreamCall(caller(id));
     expect(reply).to.include({ isWhole: false, wasReset: true });
     check(reply, id, MAY_RESET);
-    const buffered = await ask({
+    const buffered = await sendCall({
       ...caller(freshId()),
       operation: "summarizer/headline",
     });
@@ -170,9 +170,9 @@
     deployment.process(leader).signal("SIGSTOP");
     check(await reply, id);
     deployment.process(leader).signal("SIGCONT");
-    await deployment.allServe();
+    await deployment.waitUntilServing();
     const next = freshId();
-    check(await askStream(caller(next)), next);
+    check(await sendStreamCall(caller(next)), next);
   });
 
   // A member other than the one that streams dies: the rest cannot go on.
@@ -193,11 +193,11 @@
   it("are sent though open connections go silent", async () => {
     const id = freshId();
     const { reply } = await begin(id);
-    for (const engine of deployment.names("engine-")) {
-      deployment.link(`target>${engine}`).setMode(LinkMode.SilentOld);
+    for (const engine of deployment.processNames("engine-")) {
+      deployment.link(`target>${engine}`).setMode(LinkMode.SilentExisting);
     }
     const next = freshId();
-    const replies = await Promise.all([reply, askStream(caller(next))]);
+    const replies = await Promise.all([reply, sendStreamCall(caller(next))]);
     check(replies[0], id);
     check(replies[1], next);
   });
@@ -216,7 +216,7 @@
     const id = freshId();
     const leaving = new AbortController();
     const call = { ...caller(id, 1_000), signal: leaving.signal };
-    const reply = askStream(call).catch(() => null);
+    const reply = sendStreamCall(call).catch(() => null);
     const leader = await leaderOf(id);
     leaving.abort();
     await reply;
--- a/test/zones_test.ts
+++ b/test/zones_test.ts
@@ -7,7 +7,7 @@
 import { request } from "undici";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
 import { wholeText } from "../src/stand_ins/engine_member/text.ts";
-import { ask } from "./support/caller.ts";
+import { sendCall } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
 import { waitFor } from "./support/process_handle.ts";
 
@@ -41,7 +41,7 @@
 
   after(() => deployment[Symbol.asyncDispose]());
 
-  const daemonsOf = (zone: string) => deployment.names(`daemon-${zone}`);
+  const daemonsOf = (zone: string) => deployment.processNames(`daemon-${zone}`);
 
   async function statusOf(daemon: string): Promise<IZoneStatus> {
     return (await deployment.status(daemon)) as unknown as IZoneStatus;
@@ -60,14 +60,14 @@
   }
 
   async function waitForWholeViews(): Promise<void> {
-    await waitForLive(deployment.names("daemon-"), DAEMONS_PER_ZONE);
+    await waitForLive(deployment.processNames("daemon-"), DAEMONS_PER_ZONE);
   }
 
   async function expectServed(daemons: readonly string[]): Promise<void> {
     for (const daemon of daemons) {
       const prompt = `through ${daemon}`;
-      const reply = await ask({
-        address: deployment.process(daemon).field("callers"),
+      const reply = await sendCall({
+        address: deployment.process(daemon).listeningField("callers"),
         credential: "editor-desk-secret",
         operation: "summarizer/headline",
         body: { prompt, maximum_tokens: 8 },
@@ -92,7 +92,7 @@
   };
 
   async function probesOf(daemon: string): Promise<number> {
-    const address = deployment.process(daemon).field("operations");
+    const address = deployment.process(daemon).listeningField("operations");
     const answer = await request(`http://${address}/metrics`);
     const text = await answer.body.text();
     return Number(/peer_calls_total\{call="probe"\} (\d+)/.exec(text)?.[1]);
@@ -101,7 +101,7 @@
   const CUTS = [
     { name: "refuses connections", mode: LinkMode.Cut },
     { name: "is silent", mode: LinkMode.Silent },
-    { name: "loses answers only", mode: LinkMode.NoAnswers },
+    { name: "loses answers only", mode: LinkMode.DropAnswers },
   ];
 
   for (const { name, mode } of CUTS) {
@@ -114,7 +114,7 @@
         const all = await Promise.all(daemonsOf(CUT_ZONE).map(statusOf));
         return all.every(({ domains }) => domains.every((d) => !d.holding));
       });
-      await expectServed(deployment.names("daemon-"));
+      await expectServed(deployment.processNames("daemon-"));
       setMode("platform<", CUT_ZONE, LinkMode.Pass);
       const held = waitFor("the zone's lease is held again", async () => {
         const all = await Promise.all(daemonsOf(CUT_ZONE).map(statusOf));
@@ -129,7 +129,7 @@
       setMode("peers>", CUT_ZONE, mode);
       const alone = waitForLive(daemonsOf(CUT_ZONE), 1);
       await timed("each alone after the cut", alone);
-      await expectServed(deployment.names("daemon-"));
+      await expectServed(deployment.processNames("daemon-"));
       setMode("peers>", CUT_ZONE, LinkMode.Pass);
       await timed("views whole after the cut", waitForWholeViews());
     });
@@ -140,7 +140,7 @@
     setMode("platform<", CUT_ZONE, LinkMode.Cut);
     setMode("peers>", CUT_ZONE, LinkMode.Cut);
     await waitForLive(daemonsOf(CUT_ZONE), 1);
-    await expectServed(deployment.names("daemon-"));
+    await expectServed(deployment.processNames("daemon-"));
     setMode("platform<", CUT_ZONE, LinkMode.Pass);
     setMode("peers>", CUT_ZONE, LinkMode.Pass);
     await timed("views whole after both cuts", waitForWholeViews());
@@ -158,7 +158,7 @@
             .length,
       );
     const before = changes();
-    setMode("peers>", CUT_ZONE, LinkMode.SilentOld);
+    setMode("peers>", CUT_ZONE, LinkMode.SilentExisting);
     // Far more probes than a death takes to be known and logged.
     const probes = await probesOf(daemons[1]!);
     await waitFor("many probes", async () => {
