--- a/src/common/plans/duration.ts
+++ b/src/common/plans/duration.ts
@@ -1,4 +1,7 @@
-/** Durations in settings and lists carry their unit: `250ms`, `5s`, `2m`. */
+/**
+ * Parses durations in settings and lists, which carry a unit: `250ms`, `5s`,
+ * `2m`.
+ */
 import { z } from "zod";
 
 const MILLISECONDS_PER_UNIT: Readonly<Record<string, number>> = {
@@ -11,12 +14,12 @@
 const DURATION_PATTERN = /^(\d{1,9}(?:\.\d{1,9})?)(ms|s|m|h)$/;
 
 /**
- * The longest duration, milliseconds: a day. Host timers overflow at 24 days
- * and would then fire at once, again and again.
+ * Maximum duration in milliseconds: one day. Timers overflow at 24 days and
+ * would then fire immediately, again and again.
  */
 const LONGEST_DURATION = 86_400_000;
 
-/** Accepts a duration with its unit and yields milliseconds. */
+/** Accepts a duration with its unit and converts it to milliseconds. */
 export const durationSchema = z
   .string({ error: "expected a duration with its unit, such as 250ms or 5s" })
   .transform((text, context) => {
--- a/src/common/plans/effective_plans.ts
+++ b/src/common/plans/effective_plans.ts
@@ -1,4 +1,4 @@
-/** The lists in force in this daemon. */
+/** The plan lists that are in force in this daemon. */
 import type { AccountName } from "../types.ts";
 import {
   checkCustomers,
@@ -14,30 +14,30 @@
   IPlan,
 } from "./types.ts";
 
-/** What came of offering a list to the book. */
+/** The result of offering a list to {@link EffectivePlans}. */
 export enum OfferResult {
   Adopted = "adopted",
-  /** Not newer than the one in force: a stale read, a late event, a peer. */
+  /** Not newer than the version in force: a stale read, late event or peer. */
   NotNewer = "not_newer",
-  /** Newer but with findings: the last good one stays in force. */
+  /** Newer, but it failed its checks: the last valid version stays in force. */
   Refused = "refused",
 }
 
-/** A newer list that was not put in force. */
+/** A newer version that failed its checks. */
 export interface IRefusedList {
   readonly version: number;
   readonly findings: readonly IFinding[];
 }
 
 /**
- * Holds the newest good version of each list. Versions never go back: a stale
- * read or a late watch event would otherwise put an old plan in force again,
- * which a customer would notice as a limit that flips to and fro.
+ * Holds the newest valid version of each list. Versions never go back: a stale
+ * read or a late watch event would otherwise put an old plan back in force, and
+ * customers would see their limits flip back and forth.
  *
- * A refused list does not raise the bar for good ones. A daemon that has just
- * started may read a bad version from the platform before a peer offers the
- * last good one; if the bad one counted as seen, the daemon would have no list
- * at all until the operator's next edit.
+ * A refused version does not block older valid ones. A daemon that has just
+ * started may read an invalid version from the platform before a peer offers
+ * the last valid one; if the invalid one counted as the newest, the daemon
+ * would have no list until the next edit by an operator.
  */
 export class EffectivePlans {
   readonly #texts = new Map<PlanListName, IListText>();
@@ -47,7 +47,7 @@
   #accounts = new Map<string, IEffectiveAccount>();
   #missingPlanFindings: readonly IFinding[] = [];
 
-  /** Takes a list if it is newer than the one in force and passes its checks. */
+  /** Puts a list in force if it is newer and passes its checks. */
   offer(offered: IListText): OfferResult {
     const { list, version } = offered;
     const isNewer = version > (this.version(list) ?? 0);
@@ -66,38 +66,38 @@
     return OfferResult.Adopted;
   }
 
-  /** Notes a list that cannot be put in force; only the newest is kept. */
+  /** Records a version that cannot be put in force; stores only the newest. */
   recordRefusal(list: PlanListName, refused: IRefusedList): OfferResult {
     const known = this.#refused.get(list)?.version ?? 0;
-    const least = Math.max(known, this.version(list) ?? 0);
-    if (refused.version <= least) {
+    const newestKnown = Math.max(known, this.version(list) ?? 0);
+    if (refused.version <= newestKnown) {
       return OfferResult.NotNewer;
     }
     this.#refused.set(list, refused);
     return OfferResult.Refused;
   }
 
-  /** The version in force of a list, or null when there is none yet. */
+  /** The version in force, or null if there is none yet. */
   version(list: PlanListName): number | null {
     return this.#texts.get(list)?.version ?? null;
   }
 
-  /** The text in force of a list. */
+  /** The text in force, or null if there is none yet. */
   text(list: PlanListName): IListText | null {
     return this.#texts.get(list) ?? null;
   }
 
-  /** The newest refused list that is newer than the one in force, or null. */
+  /** The newest refused version, if newer than the one in force, or null. */
   newestRefused(list: PlanListName): IRefusedList | null {
     return this.#refused.get(list) ?? null;
   }
 
-  /** True once both lists are in force. */
+  /** True if both lists are in force. */
   get isComplete(): boolean {
     return this.#texts.size === Object.values(PlanListName).length;
   }
 
-  /** Everything wrong with the newest lists seen. */
+  /** Findings of the newest refused versions and of the lists in force. */
   get findings(): readonly IFinding[] {
     const refused = [...this.#refused.values()];
     return [
@@ -106,17 +106,17 @@
     ];
   }
 
-  /** Customers in force that name a plan which is not. */
+  /** Findings for customers in force whose plan does not exist. */
   get missingPlanFindings(): readonly IFinding[] {
     return this.#missingPlanFindings;
   }
 
-  /** The client account a credential belongs to, by the credential's digest. */
+  /** Finds the client account that owns a credential, by its SHA-256 digest. */
   findByCredential(digest: string): IEffectiveAccount | null {
     return this.#accounts.get(digest) ?? null;
   }
 
-  /** Every account with its plan in force. */
+  /** All client accounts with their effective plans. */
   get accounts(): readonly IEffectiveAccount[] {
     return [...this.#accounts.values()];
   }
@@ -139,30 +139,32 @@
   }
 
   /**
-   * Joins customers to plans. A customer naming a plan that is missing keeps
-   * its last good entry: the two lists are edited one after the other, and a
-   * customer must not lose service in between. A daemon that never saw a good
-   * entry has none to keep; the finding says so everywhere.
+   * Resolves the plan of every customer. A customer whose plan is missing
+   * retains its last valid entry: the two lists are edited one after the other,
+   * and a customer must not lose service in between. A daemon that never had a
+   * valid entry for the customer has none to retain; every daemon reports the
+   * finding.
    */
   #resolveAccounts(): void {
-    const lastGood = new Map<AccountName, IEffectiveAccount>();
+    const lastValid = new Map<AccountName, IEffectiveAccount>();
     for (const entry of this.#accounts.values()) {
-      lastGood.set(entry.customer.account, entry);
+      lastValid.set(entry.customer.account, entry);
     }
-    const kept: IEffectiveAccount[] = [];
-    const joined: IEffectiveAccount[] = [];
+    const retained: IEffectiveAccount[] = [];
+    const resolved: IEffectiveAccount[] = [];
     for (const customer of this.#customers) {
       const plan = this.#plans.get(customer.plan);
-      const last = lastGood.get(customer.account);
+      const previous = lastValid.get(customer.account);
       if (plan !== undefined) {
-        joined.push({ customer, plan });
-      } else if (last !== undefined) {
-        kept.push(last);
+        resolved.push({ customer, plan });
+      } else if (previous !== undefined) {
+        retained.push(previous);
       }
     }
-    // A kept entry's old credential gives way to an account that has it now.
+    // Resolved entries come last, so that an account that now owns a credential
+    // replaces a retained entry that used to own it.
     this.#accounts = new Map(
-      [...kept, ...joined].map((entry) => [
+      [...retained, ...resolved].map((entry) => [
         entry.customer.credentialDigest,
         entry,
       ]),
--- a/src/common/plans/effective_plans_test.ts
+++ b/src/common/plans/effective_plans_test.ts
@@ -1,7 +1,7 @@
 import { expect } from "chai";
 import fc from "fast-check";
 import { formatFinding } from "./findings.ts";
-import { OfferResult, EffectivePlans } from "./effective_plans.ts";
+import { EffectivePlans, OfferResult } from "./effective_plans.ts";
 import { PlanListName } from "./types.ts";
 
 const { Customers, Plans } = PlanListName;
@@ -29,80 +29,81 @@
 `;
 }
 
-describe("plan book", () => {
+describe("effective plans", () => {
   /**
-   * Reads may be stale, watch events late, peers behind, and any version may
-   * be bad. Whatever the order of offers, what is in force must never go back
-   * and must end as the newest good version, or customers see limits flip.
+   * Guards against limits that flip for customers: reads may be stale, watch
+   * events late, peers behind, and any version may be invalid. Whatever the
+   * order of offers, the version in force must never go back and must end as
+   * the newest valid one.
    */
-  it("keeps the newest good version under any order of offers", () => {
+  it("ends with the newest valid version for any order of offers", () => {
     const offers = fc.array(fc.integer({ min: 1, max: 12 }), {
       minLength: 1,
       maxLength: 40,
     });
     const bad = fc.uniqueArray(fc.integer({ min: 1, max: 12 }));
     const property = fc.property(offers, bad, (versions, badVersions) => {
-      const book = new EffectivePlans();
+      const effective = new EffectivePlans();
       for (const version of versions) {
-        const before = book.version(Plans) ?? 0;
+        const before = effective.version(Plans) ?? 0;
         const isBad = badVersions.includes(version);
         const text = isBad ? "plans: 5" : plansText(`plan-${version}`);
-        const adoption = book.offer({ list: Plans, version, text });
-        expect(book.version(Plans) ?? 0).to.be.at.least(before);
+        const adoption = effective.offer({ list: Plans, version, text });
+        expect(effective.version(Plans) ?? 0).to.be.at.least(before);
         const isAdopted = !isBad && version > before;
         expect(adoption === OfferResult.Adopted).to.equal(isAdopted);
       }
       const good = versions.filter((version) => !badVersions.includes(version));
       const newest = Math.max(0, ...good);
-      expect(book.version(Plans) ?? 0).to.equal(newest);
+      expect(effective.version(Plans) ?? 0).to.equal(newest);
       const newestBad = versions.some(
         (version) => version > newest && badVersions.includes(version),
       );
-      expect(book.findings.length > 0).to.equal(newestBad);
+      expect(effective.findings.length > 0).to.equal(newestBad);
     });
     fc.assert(property, { seed: 4001, numRuns: 500 });
   });
 
-  it("takes the last good list after a newer bad one", () => {
-    const book = new EffectivePlans();
+  it("adopts the last valid version after a newer invalid one", () => {
+    const effective = new EffectivePlans();
     const bad = { list: Plans, version: 9, text: "plans: {" };
-    expect(book.offer(bad)).to.equal(OfferResult.Refused);
-    expect(book.offer(bad)).to.equal(OfferResult.NotNewer);
+    expect(effective.offer(bad)).to.equal(OfferResult.Refused);
+    expect(effective.offer(bad)).to.equal(OfferResult.NotNewer);
     const good = { list: Plans, version: 8, text: plansText("bench") };
-    expect(book.offer(good)).to.equal(OfferResult.Adopted);
-    expect(book.newestRefused(Plans)?.version).to.equal(9);
+    expect(effective.offer(good)).to.equal(OfferResult.Adopted);
+    expect(effective.newestRefused(Plans)?.version).to.equal(9);
   });
 
-  it("keeps a customer's last good entry when its plan is gone", () => {
-    const book = new EffectivePlans();
+  it("retains a customer's last valid entry when its plan is removed", () => {
+    const effective = new EffectivePlans();
     const customers = { list: Customers, text: customersText("bench") };
-    book.offer({ ...customers, version: 1 });
-    book.offer({ list: Plans, version: 2, text: plansText("bench") });
-    expect(book.findByCredential(DIGEST)?.plan.name).to.equal("bench");
-    book.offer({ list: Plans, version: 3, text: plansText("other") });
-    expect(book.version(Plans)).to.equal(3);
-    expect(book.findByCredential(DIGEST)?.plan.name).to.equal("bench");
-    expect(book.findings.map(formatFinding)).to.deep.equal([
+    effective.offer({ ...customers, version: 1 });
+    effective.offer({ list: Plans, version: 2, text: plansText("bench") });
+    expect(effective.findByCredential(DIGEST)?.plan.name).to.equal("bench");
+    effective.offer({ list: Plans, version: 3, text: plansText("other") });
+    expect(effective.version(Plans)).to.equal(3);
+    expect(effective.findByCredential(DIGEST)?.plan.name).to.equal("bench");
+    expect(effective.findings.map(formatFinding)).to.deep.equal([
       "customers:3:11: customers[0].plan: no plan is named bench",
     ]);
     const other = { list: Customers, text: customersText("other") };
-    book.offer({ ...other, version: 4 });
-    expect(book.findByCredential(DIGEST)?.plan.name).to.equal("other");
-    expect(book.findings).to.have.length(0);
+    effective.offer({ ...other, version: 4 });
+    expect(effective.findByCredential(DIGEST)?.plan.name).to.equal("other");
+    expect(effective.findings).to.have.length(0);
   });
 
-  it("gives a credential to the account that has it now", () => {
-    const book = new EffectivePlans();
-    book.offer({ list: Plans, version: 1, text: plansText("bench") });
+  it("assigns a credential to the account that owns it now", () => {
+    const effective = new EffectivePlans();
+    effective.offer({ list: Plans, version: 1, text: plansText("bench") });
     const first = customersText("bench");
-    book.offer({ list: Customers, version: 2, text: first });
+    effective.offer({ list: Customers, version: 2, text: first });
     const moved =
       customersText("gone", "1".repeat(64)) +
       customersText("bench")
         .replace("customers:\n", "")
         .replace("account: desk", "account: other");
-    book.offer({ list: Customers, version: 3, text: moved });
-    const entry = book.findByCredential(DIGEST);
+    effective.offer({ list: Customers, version: 3, text: moved });
+    const entry = effective.findByCredential(DIGEST);
     expect(entry?.customer.account).to.equal("other");
   });
 });
--- a/src/common/plans/findings.ts
+++ b/src/common/plans/findings.ts
@@ -1,4 +1,4 @@
-/** Turns a checked document's problems into findings with their place. */
+/** Parses and checks YAML documents; findings carry their positions. */
 import {
   isMap,
   isNode,
@@ -13,46 +13,46 @@
 import type { z } from "zod";
 import type { IFinding, ITextPosition } from "./types.ts";
 
-/** Aliases a document may expand; more is taken for an alias bomb. */
+/** Maximum aliases a document may expand; more are considered an alias bomb. */
 const MAXIMUM_ALIASES = 20;
 
-/** The largest text that is read, in characters: the platform's bound. */
+/** Maximum length of a document in characters; the platform's own limit. */
 export const MAXIMUM_TEXT_LENGTH = 1_000_000;
 
-/** Findings told of one document; a larger number is only counted. */
+/** Maximum findings reported for a document; further ones are only counted. */
 const MAXIMUM_FINDINGS = 500;
 
-/** Levels a document may nest; lists and settings need four. */
+/** Maximum nesting depth; lists and settings need four levels. */
 const MAXIMUM_DEPTH = 32;
 
-/** A line that opens more levels than that by its list and key marks. */
-const DEEP_BLOCKS = new RegExp(`^ *(?:[-?:] +){${MAXIMUM_DEPTH},}`, "m");
+/** Matches a line whose list and key markers alone exceed the maximum depth. */
+const DEEP_BLOCK_PATTERN = new RegExp(`^ *(?:[-?:] +){${MAXIMUM_DEPTH},}`, "m");
 
-const TOO_DEEP = `is nested deeper than ${MAXIMUM_DEPTH} levels`;
+const TOO_DEEP_MESSAGE = `is nested deeper than ${MAXIMUM_DEPTH} levels`;
 
-const START: ITextPosition = { line: 1, column: 1 };
+const DOCUMENT_START: ITextPosition = { line: 1, column: 1 };
 
 type Path = readonly PropertyKey[];
 
-/** Something wrong at a path that the schema cannot say, such as a repeat. */
+/** An error that the schema cannot express, such as a duplicate entry. */
 export interface IContentIssue {
   readonly path: Path;
   readonly message: string;
-  /** True where the key itself is wrong, not what stands under it. */
+  /** True if the key itself is wrong rather than its value. */
   readonly isKey?: boolean;
 }
 
 /** A document that passed its checks. */
 export interface ICheckedDocument<T> {
   readonly content: T;
-  /** Where the entry at a path stands in the text. */
-  placeOf(path: Path): ITextPosition;
+  /** The position in the text of the entry at a path. */
+  positionOf(path: Path): ITextPosition;
 }
 
-/** How a document is checked. */
+/** The checks to run on a document. */
 export interface IDocumentChecks<T> {
   readonly schema: z.ZodType<T>;
-  /** Looks at the content as parsed, also when the schema has findings. */
+  /** Checks the parsed content; also runs when the schema has findings. */
   readonly findContentIssues?: (content: unknown) => readonly IContentIssue[];
 }
 
@@ -72,7 +72,7 @@
   );
 }
 
-/** A parsed document whose content is not checked yet. */
+/** A parsed document whose content has not been checked yet. */
 export interface IParsedDocument {
   readonly source: string;
   readonly document: Document;
@@ -81,19 +81,19 @@
 }
 
 /**
- * Parses YAML within bounds. Nesting deep enough to exhaust the stack and
- * aliases that expand to gigabytes would otherwise end the process, which
- * callers would notice as every daemon restarting at each read of the list.
+ * Parses YAML with limits on size, depth and aliases. Nesting that exhausts the
+ * stack, or aliases that expand to gigabytes, would otherwise end the process:
+ * every daemon would restart each time it reads the list.
  */
 export function parseYaml(
   source: string,
   text: string,
 ): Result<IParsedDocument, readonly IFinding[]> {
   if (text.length > MAXIMUM_TEXT_LENGTH) {
-    return fail(source, `longer than ${MAXIMUM_TEXT_LENGTH} characters`);
+    return failWith(source, `longer than ${MAXIMUM_TEXT_LENGTH} characters`);
   }
   if (isNestedTooDeeply(text)) {
-    return fail(source, TOO_DEEP);
+    return failWith(source, TOO_DEEP_MESSAGE);
   }
   const lines = new LineCounter();
   try {
@@ -101,30 +101,33 @@
     if (document.errors.length > 0) {
       const errors = document.errors.map((error) => ({
         source,
-        ...place(lines, error.pos[0]),
+        ...positionAt(lines, error.pos[0]),
         path: "",
-        message: messageOf(error),
+        message: parserMessage(error),
       }));
-      return Err(bounded(source, errors));
+      return Err(limitFindings(source, errors));
     }
     const options = { maxAliasCount: MAXIMUM_ALIASES };
     const content: unknown = document.toJS(options);
     return content === null || content === undefined
-      ? fail(source, "is empty")
+      ? failWith(source, "is empty")
       : Ok({ source, document, lines, content });
   } catch (error) {
     const message = error instanceof Error ? error.message : String(error);
-    return fail(source, error instanceof RangeError ? TOO_DEEP : message);
+    return failWith(
+      source,
+      error instanceof RangeError ? TOO_DEEP_MESSAGE : message,
+    );
   }
 }
 
 /**
- * Counts open brackets and runs of list marks before anything recursive sees
- * the text. The parser's work grows with the square of the depth: at 100,000
- * brackets it would hold up every stream of the daemon for seconds.
+ * Counts open brackets and runs of list markers before any recursive code
+ * processes the text. The run time of the parser is quadratic in the depth: at
+ * 100,000 brackets it would block every stream of the daemon for seconds.
  */
 function isNestedTooDeeply(text: string): boolean {
-  if (DEEP_BLOCKS.test(text)) {
+  if (DEEP_BLOCK_PATTERN.test(text)) {
     return true;
   }
   let depth = 0;
@@ -146,26 +149,30 @@
   checks: IDocumentChecks<T>,
 ): Result<ICheckedDocument<T>, readonly IFinding[]> {
   const { source, document, lines, content } = parsed;
-  const checked = checks.schema.safeParse(content, { error: explain });
-  const issues = checked.success ? [] : checked.error.issues.flatMap(unfold);
+  const checked = checks.schema.safeParse(content, {
+    error: describeMissingKey,
+  });
+  const issues = checked.success
+    ? []
+    : checked.error.issues.flatMap(splitUnknownKeys);
   const extra = checks.findContentIssues?.(content) ?? [];
-  const placeOf = (path: Path) => locate(document, lines, { path });
+  const positionOf = (path: Path) => findPosition(document, lines, { path });
   if (checked.success && extra.length === 0) {
-    return Ok({ content: checked.data, placeOf });
+    return Ok({ content: checked.data, positionOf });
   }
   const findings = [...issues, ...extra]
     .map(({ path, message, isKey }) => ({
       source,
-      ...locate(document, lines, { path, isKey }),
+      ...findPosition(document, lines, { path, isKey }),
       path: formatPath(path),
       message,
     }))
-    .sort(byPlace);
-  return Err(bounded(source, findings));
+    .sort(comparePositions);
+  return Err(limitFindings(source, findings));
 }
 
-/** Says of an absent key that it is missing, where zod says "undefined". */
-function explain(issue: {
+/** Reports an absent key as missing, where zod reports it as undefined. */
+function describeMissingKey(issue: {
   readonly code?: string;
   readonly input?: unknown;
 }): string | undefined {
@@ -176,8 +183,8 @@
     : undefined;
 }
 
-/** One issue a key for keys that no one knows, so that each has its place. */
-function unfold(issue: z.core.$ZodIssue): readonly IContentIssue[] {
+/** Splits an issue about unknown keys by key, so each has its own position. */
+function splitUnknownKeys(issue: z.core.$ZodIssue): readonly IContentIssue[] {
   if (issue.code !== "unrecognized_keys") {
     const { path, message } = issue;
     return [{ path, message }];
@@ -189,8 +196,8 @@
   }));
 }
 
-/** The place of the deepest node on a path that exists. */
-function locate(
+/** The position of the deepest existing node on a path. */
+function findPosition(
   document: Document,
   lines: LineCounter,
   subject: { readonly path: Path; readonly isKey?: boolean },
@@ -203,26 +210,26 @@
       ? parent.items.find(({ key }) => isScalar(key) && key.value === step)
       : undefined;
     const value = document.getIn(path.slice(0, length), true);
-    const isWanted = isKey && length === path.length;
-    const node = isNode(value) && !isWanted ? value : pair?.key;
+    const isKeyRequested = isKey && length === path.length;
+    const node = isNode(value) && !isKeyRequested ? value : pair?.key;
     if (isNode(node) && node.range) {
-      return place(lines, node.range[0]);
+      return positionAt(lines, node.range[0]);
     }
   }
-  return START;
+  return DOCUMENT_START;
 }
 
-/** A position in the text as line and column, both from 1. */
-function place(lines: LineCounter, offset: number): ITextPosition {
+/** Converts an offset to a line and column, both starting at 1. */
+function positionAt(lines: LineCounter, offset: number): ITextPosition {
   const { line, col } = lines.linePos(offset);
   return { line: Math.max(line, 1), column: Math.max(col, 1) };
 }
 
-function byPlace(left: IFinding, right: IFinding): number {
+function comparePositions(left: IFinding, right: IFinding): number {
   return left.line - right.line || left.column - right.column;
 }
 
-function bounded(
+function limitFindings(
   source: string,
   findings: readonly IFinding[],
 ): readonly IFinding[] {
@@ -234,7 +241,7 @@
   return [...findings.slice(0, MAXIMUM_FINDINGS), more];
 }
 
-function fail(
+function failWith(
   source: string,
   message: string,
 ): Result<never, readonly IFinding[]> {
@@ -243,10 +250,10 @@
 
 /** A finding about a file or object as a whole. */
 export function documentFinding(source: string, message: string): IFinding {
-  return { source, ...START, path: "", message };
+  return { source, ...DOCUMENT_START, path: "", message };
 }
 
-/** Writes a path as `customers[2].plan`. */
+/** Formats a path as `customers[2].plan`. */
 export function formatPath(path: Path): string {
   let text = "";
   for (const step of path) {
@@ -260,8 +267,9 @@
 }
 
 /**
- * Writes a finding as `file:line:column: path: message`. Control characters
- * are escaped: a key from the file must not drive the reader's terminal.
+ * Formats a finding as `file:line:column: path: message`. Control characters
+ * are escaped so that a key from the file cannot control the terminal of the
+ * reader.
  */
 export function formatFinding(finding: IFinding): string {
   const { source, line, column, path, message } = finding;
@@ -275,8 +283,8 @@
   );
 }
 
-/** The parser's message without its own account of the place. */
-function messageOf(error: YAMLError): string {
+/** The message of the parser without the position that it appends. */
+function parserMessage(error: YAMLError): string {
   const first = error.message.split("\n", 1)[0] ?? "";
   return first.replace(/ at line \d+, column \d+:?$/, "");
 }
--- a/src/common/plans/list_edit.ts
+++ b/src/common/plans/list_edit.ts
@@ -1,11 +1,12 @@
 /**
- * One operator's edit of a plan list, put on the platform at most once.
+ * Writes an operator's edit of a plan list to the platform at most once.
  *
- * A write's answer can be lost after it took effect, and by the time it is
- * read back another operator may have edited the list again. Comparing texts
- * would then say "not applied", and repeating the edit would undo the other
- * one. The object therefore names its last edits; a name is the digest of what
- * was edited and of the result, so a second run of the same command finds it.
+ * The reply to a write can be lost after the write took effect, and by the time
+ * the list is read back another operator may have edited it again. Comparing
+ * texts would then report "not applied", and repeating the edit would undo the
+ * other one. The object therefore names its last edits. A name is the digest of
+ * the edited version and the result, so a second run of the same command finds
+ * it.
  */
 import { Err, Ok } from "ts-results-es";
 import type { Option, Result } from "ts-results-es";
@@ -20,55 +21,55 @@
 import { PLAN_LIST_KIND } from "./types.ts";
 import type { PlanListName } from "./types.ts";
 
-/** Edits an object names; more than operators make while one waits. */
+/** Edit names stored in an object; more than operators make while one waits. */
 const MAXIMUM_EDITS = 50;
 
-/** Tries to learn what became of a write before saying "unknown". */
-const MAXIMUM_TRIES = 5;
+/** Attempts to learn the result of a write before reporting `unknown`. */
+const MAXIMUM_ATTEMPTS = 5;
 
-/** An edit as an operator asks for it. */
+/** An edit that an operator requests. */
 export interface IListEdit {
   readonly list: PlanListName;
   readonly text: string;
-  /** The version that was edited; 0 where there was no list. */
+  /** The version that was edited; 0 if there was no list. */
   readonly editedFrom: number;
-  /** Digest of list, version and text: the same for the same edit. */
+  /** Digest of list, version and text; identical for identical edits. */
   readonly name: string;
-  /** Restorations of the platform to count; that of the version if absent. */
+  /** Number of platform restorations; by default that of the edited version. */
   readonly restorations?: number;
 }
 
-/** What became of an edit. */
+/** The outcome of an edit. */
 export enum EditOutcome {
-  /** On the platform, by this run or an earlier one of the same command. */
+  /** Written by this run or an earlier run of the same command. */
   Applied = "applied",
-  /** It took effect, and another edit has replaced it since. */
+  /** Took effect, but another edit has replaced it since. */
   Replaced = "replaced",
-  /** Another edit came first: nothing was changed. */
+  /** Another edit came first; nothing was changed. */
   Conflict = "conflict",
-  /** The platform refused or was out of reach: nothing was changed. */
+  /** The platform refused or was unreachable; nothing was changed. */
   NotApplied = "not_applied",
-  /** Neither can be told. */
+  /** It is not known whether the edit took effect. */
   Unknown = "unknown",
 }
 
-/** The outcome, and the object as it stands where that is known. */
+/** The outcome, with the current object if it is known. */
 export interface IEditResult {
   readonly outcome: EditOutcome;
   readonly detail: string;
   readonly current: IPlatformObject | null;
 }
 
-/** Puts an edit on the platform and settles what became of it. */
+/** Writes an edit to the platform and determines its outcome. */
 export async function applyEdit(
   platform: IPlatform,
   edit: IListEdit,
   pause: () => Promise<void>,
 ): Promise<IEditResult> {
   let detail = "";
-  let hasSent = false;
-  for (let tries = 0; tries < MAXIMUM_TRIES; tries++) {
-    if (tries > 0) {
+  let mayHaveWritten = false;
+  for (let attempt = 0; attempt < MAXIMUM_ATTEMPTS; attempt++) {
+    if (attempt > 0) {
       await pause();
     }
     const found = await platform.read(PLAN_LIST_KIND, edit.list);
@@ -76,9 +77,9 @@
       detail = found.error.detail;
       continue;
     }
-    const settled = settle(edit, found.value);
-    if (settled !== null) {
-      return settled;
+    const result = findOutcome(edit, found.value);
+    if (result !== null) {
+      return result;
     }
     const written = await write(platform, edit, found.value);
     if (written.isOk()) {
@@ -86,15 +87,15 @@
     }
     detail = written.error.detail;
     if (written.error.kind === WriteFailureKind.Unknown) {
-      hasSent = true;
+      mayHaveWritten = true;
     }
   }
-  const outcome = hasSent ? EditOutcome.Unknown : EditOutcome.NotApplied;
+  const outcome = mayHaveWritten ? EditOutcome.Unknown : EditOutcome.NotApplied;
   return { outcome, detail, current: null };
 }
 
-/** What the object as it stands says of the edit; null: it can be written. */
-function settle(
+/** The outcome shown by the current object; null if the edit can be written. */
+function findOutcome(
   edit: IListEdit,
   found: Option<IPlatformObject>,
 ): IEditResult | null {
--- a/src/common/plans/list_object.ts
+++ b/src/common/plans/list_object.ts
@@ -1,13 +1,13 @@
 /**
- * A plan list as an object of the platform, and the number that orders its
- * versions.
+ * Stores a plan list as a platform object and computes the number that orders
+ * its versions.
  *
  * The platform's version alone orders them until the platform is restored from
  * an older copy: its versions then start again below those in force, and every
- * later edit would be taken for a stale read. The object therefore carries how
- * many such restorations operators have confirmed (`apply --after-restore`),
- * and that number goes before the platform's version. Both fit in one integer,
- * so peers exchange and compare a single number.
+ * later edit would be considered a stale read. The object therefore counts the
+ * restorations that operators have confirmed (`apply --after-restore`), and
+ * that count takes precedence over the platform's version. Both fit in one
+ * integer, so peers exchange and compare a single number.
  */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
@@ -18,18 +18,19 @@
 import type { IFinding, IListText } from "./types.ts";
 
 /**
- * Above any platform version: at the platform's several hundred writes a
- * second a trillion is passed after some fifty years.
+ * Exceeds any platform version: at several hundred writes per second the
+ * platform reaches a trillion after about fifty years.
  */
 const RESTORATION_STEP = 1_000_000_000_000;
 
-/** Keeps the joined number exact in a double. */
+/** Bounds the combined version so that a double represents it exactly. */
 const MAXIMUM_RESTORATIONS = 1_000;
 
-/** The form of a list in the platform: its text as the operator wrote it. */
+/** A list as stored in the platform. */
 export interface IListValue {
+  /** The text as the operator wrote it. */
   readonly text: string;
-  /** Restorations of the platform confirmed so far; absent means none. */
+  /** Platform restorations confirmed so far; absent means none. */
   readonly restorations?: number;
   /** Names of the last edits, oldest first; see list_edit.ts. */
   readonly edits?: readonly string[];
@@ -41,12 +42,12 @@
   edits: z.array(z.string()).optional(),
 });
 
-/** The list that an object's name stands for, or null. */
+/** The list that an object name identifies, or null. */
 export function parsePlanListName(name: string): PlanListName | null {
   return Object.values(PlanListName).find((known) => known === name) ?? null;
 }
 
-/** Reads a list object; findings when it is not of that form. */
+/** Parses a list object; findings if it does not match the schema. */
 export function parseListObject(
   object: IPlatformObject,
 ): Result<IListText, readonly IFinding[]> {
@@ -68,23 +69,23 @@
   return Ok({ list, version, text });
 }
 
-/** Names of the edits that a list object still tells of; none if unreadable. */
+/** Names of the last edits recorded in a list object; none if it is invalid. */
 export function editNamesOf(object: IPlatformObject): readonly string[] {
   const value = listValueSchema.safeParse(object.value);
   return value.success ? (value.data.edits ?? []) : [];
 }
 
-/** The platform's part of a list's version: what a write is conditional on. */
+/** The platform's part of a list version, on which a write is conditional. */
 export function platformVersionOf(version: number): number {
   return version % RESTORATION_STEP;
 }
 
-/** How many restorations of the platform a list's version counts. */
+/** The number of platform restorations in a list version. */
 export function restorationsOf(version: number): number {
   return Math.floor(version / RESTORATION_STEP);
 }
 
-/** A list's version from its two parts. */
+/** Combines both parts into a list version. */
 export function combineVersions(restorations: number, version: number): number {
   return restorations * RESTORATION_STEP + version;
 }
--- a/src/common/plans/plan_list_schema.ts
+++ b/src/common/plans/plan_list_schema.ts
@@ -1,4 +1,4 @@
-/** The form of the two plan lists. */
+/** Schemas of the two plan lists. */
 import type { Result } from "ts-results-es";
 import { z } from "zod";
 import { durationSchema } from "./duration.ts";
@@ -8,7 +8,10 @@
 
 const HIGHEST_PRIORITY = 9;
 
-/** Names stand in log lines, metrics and paths: no blanks, no controls. */
+/**
+ * Names occur in log lines, metrics and paths, so blanks and control characters
+ * are invalid.
+ */
 const NAME_PATTERN = /^[\p{L}\p{N}][\p{L}\p{N}._-]{0,99}$/u;
 
 const nameSchema = z
@@ -45,8 +48,8 @@
 });
 
 /**
- * Checks the customers list. An account may stand only once, and so may a
- * credential: two accounts with one would be billed for each other's calls.
+ * Checks the customers list. Accounts and credentials must be unique: two
+ * accounts with one credential would be billed for each other's calls.
  */
 export function checkCustomers(
   source: string,
@@ -55,28 +58,28 @@
   const checked = checkDocument(source, text, {
     schema: customersSchema,
     findContentIssues: (content) => [
-      ...repeats(content, "customers", "account"),
-      ...repeats(content, "customers", "credential_sha256"),
+      ...findDuplicates(content, "customers", "account"),
+      ...findDuplicates(content, "customers", "credential_sha256"),
     ],
   });
-  return checked.map(({ content, placeOf }) =>
+  return checked.map(({ content, positionOf }) =>
     content.customers.map((customer, index) => ({
       account: customer.account,
       plan: customer.plan,
       credentialDigest: customer.credential_sha256,
-      planPlace: placeOf(["customers", index, "plan"]),
+      planPosition: positionOf(["customers", index, "plan"]),
     })),
   );
 }
 
-/** Checks the plans list; a plan may stand only once. */
+/** Checks the plans list; plan names must be unique. */
 export function checkPlans(
   source: string,
   text: string,
 ): Result<readonly IPlan[], readonly IFinding[]> {
   const checked = checkDocument(source, text, {
     schema: plansSchema,
-    findContentIssues: (content) => repeats(content, "plans", "plan"),
+    findContentIssues: (content) => findDuplicates(content, "plans", "plan"),
   });
   return checked.map(({ content }) =>
     content.plans.map((plan) => ({
@@ -91,7 +94,7 @@
   );
 }
 
-/** Customers that name a plan which is not in the list, with their place. */
+/** Reports customers whose plan does not exist, with their positions. */
 export function findMissingPlans(
   source: string,
   customers: readonly ICustomer[],
@@ -103,7 +106,7 @@
       : [
           {
             source,
-            ...customer.planPlace,
+            ...customer.planPosition,
             path: `customers[${index}].plan`,
             message: `no plan is named ${customer.plan}`,
           },
@@ -111,8 +114,8 @@
   );
 }
 
-/** Entries of a list whose value at a key has stood before. */
-function repeats(
+/** Reports entries whose value at a key duplicates that of an earlier entry. */
+function findDuplicates(
   content: unknown,
   list: string,
   key: string,
--- a/src/common/plans/types.ts
+++ b/src/common/plans/types.ts
@@ -1,7 +1,10 @@
-/** The two lists that operators edit, and what their checks find. */
+/**
+ * Types of the two plan lists that operators edit, and of what their checks
+ * report.
+ */
 import type { AccountName, ServiceName } from "../types.ts";
 
-/** The two lists; each is one object of the platform. */
+/** The two plan lists; each is one object of the platform. */
 export enum PlanListName {
   /** Client accounts and the plan of each. */
   Customers = "customers",
@@ -9,7 +12,7 @@
   Plans = "plans",
 }
 
-/** The platform's kind of object that holds a list. */
+/** Kind of the platform objects that hold the lists. */
 export const PLAN_LIST_KIND = "plan_lists";
 
 /** A client account and its plan. */
@@ -18,48 +21,50 @@
   readonly plan: string;
   /** SHA-256 of the account's credential, as lower-case hexadecimal. */
   readonly credentialDigest: string;
-  /** Where the list names the account's plan. */
-  readonly planPlace: ITextPosition;
+  /** Position of the account's plan in the list's text. */
+  readonly planPosition: ITextPosition;
 }
 
-/** What a plan may use. */
+/** A plan: the services and limits of its client accounts. */
 export interface IPlan {
   readonly name: string;
   readonly services: readonly ServiceName[];
-  /** Higher goes first; 0 to 9. */
+  /** 0 to 9; higher values are served first. */
   readonly priority: number;
   readonly requestsPerSecond: number;
   readonly tokensPerMinute: number;
   readonly requestsInFlight: number;
-  /** Milliseconds from arrival within which an answer is worth having. */
+  /**
+   * Milliseconds from arrival within which an answer is of use to the caller.
+   */
   readonly deadline: number;
 }
 
-/** A place in a text; both from 1. */
+/** A position in a text; both numbers start at 1. */
 export interface ITextPosition {
   readonly line: number;
   readonly column: number;
 }
 
-/** One thing wrong with a list or a settings file, and where. */
+/** An error in a list or a settings file, with its position. */
 export interface IFinding extends ITextPosition {
-  /** The file or list. */
+  /** Name of the file or list. */
   readonly source: string;
   /** Dotted path of the entry, such as `customers[2].plan`. */
   readonly path: string;
-  /** What is wrong, and what was expected. */
+  /** What is wrong and what was expected. */
   readonly message: string;
 }
 
-/** A list's text at a version. */
+/** The text of a list at one version. */
 export interface IListText {
   readonly list: PlanListName;
-  /** Orders the list's texts; see list_object.ts. */
+  /** Orders the versions of a list; see list_object.ts. */
   readonly version: number;
   readonly text: string;
 }
 
-/** A client account with the plan in force for it. */
+/** A client account with its effective plan. */
 export interface IEffectiveAccount {
   readonly customer: ICustomer;
   readonly plan: IPlan;
