--- a/src/common/runs/run_record.ts
+++ b/src/common/runs/run_record.ts
@@ -1,19 +1,20 @@
 /**
- * The record of a call that may not be repeated. It is created before the
- * target sees anything; whoever finds one does not run the call.
+ * The record of a call that may not be repeated. It is created before the call
+ * is sent to the target; a process that finds an existing record does not run
+ * the call.
  */
 import { z } from "zod";
 import type { AccountName, RequestId } from "../types.ts";
 
-/** How far a recorded call has come. */
+/** The state of a recorded call. */
 export enum RunState {
-  /** Created; the target may have acted or may yet. */
+  /** Created; the target may have acted or may still act. */
   Open = "open",
   /** The answer is recorded. */
   Completed = "completed",
   /** The target certainly did not act; the key may be used again. */
   NotRun = "not_run",
-  /** Nobody can tell any more. */
+  /** It can no longer be determined whether the target acted. */
   Unknown = "unknown",
 }
 
@@ -21,14 +22,14 @@
   account: z.string(),
   operation: z.string(),
   key: z.string(),
-  /** Digest of the body: the same key with another body is an error. */
+  /** Digest of the body; the same key with another body is an error. */
   bodyDigest: z.string(),
-  /** Names the try that created it, to resolve a lost answer. */
+  /** Identifies the attempt that created it, to resolve a lost reply. */
   attempt: z.string(),
   requestId: z.string(),
   state: z.enum(RunState),
   answer: z.unknown(),
-  /** Set when the answer is too large for the platform and is not kept. */
+  /** Set if the answer is too large for the platform and is not stored. */
   omitted: z
     .strictObject({ digest: z.string(), bytes: z.number() })
     .nullable()
@@ -36,20 +37,20 @@
   /** Calendar time of creation, milliseconds since 1970. */
   createdAt: z.number(),
   /**
-   * Calendar time after which an open record has been left behind by a daemon
-   * that died. It changes only what a caller is told, never who may run, so
-   * clocks that disagree do no harm.
+   * Calendar time after which an open record is considered left behind by a
+   * daemon that died. It affects only the reply to the caller, never which
+   * attempt may run, so clock differences do no harm.
    */
   openUntil: z.number(),
 });
 
-/** A run record as kept by the platform. */
+/** A run record as stored in the platform. */
 export type RunRecord = z.infer<typeof runRecordSchema>;
 
-/** What stands for an answer that is too large to keep. */
+/** Describes an answer that is too large to store. */
 export type OmittedAnswer = NonNullable<RunRecord["omitted"]>;
 
-/** Reads a record back; null when it is not one. */
+/** Parses a run record; null if the value is not one. */
 export function parseRunRecord(value: unknown): RunRecord | null {
   const checked = runRecordSchema.safeParse(value);
   return checked.success ? checked.data : null;
@@ -58,12 +59,12 @@
 /** Identifies a call that may run at most once. */
 export interface IRunKey {
   readonly account: AccountName;
-  /** Service and operation, as `delivery-api/publish`. */
+  /** Service and operation, such as `delivery-api/publish`. */
   readonly operation: string;
   readonly key: string;
 }
 
-/** What the first try puts into a record besides its key. */
+/** The fields that the first attempt sets besides the key. */
 export interface IRunDetails {
   readonly bodyDigest: string;
   readonly attempt: string;
@@ -72,7 +73,7 @@
   readonly openUntil: number;
 }
 
-/** A new record for a first try. */
+/** Creates the record of a first attempt. */
 export function createOpenRecord(
   run: IRunKey,
   details: IRunDetails,
@@ -81,31 +82,31 @@
   return { ...run, ...details, state, answer: null, omitted: null };
 }
 
-/** What a found record means for the caller that found it. */
+/** The meaning of an existing record for the attempt that finds it. */
 export enum ExistingRecordStatus {
-  /** This very try created it: its answer was lost on the way. */
+  /** This attempt created it, but the reply to the write was lost. */
   OwnAttempt = "mine",
   /** The same key was used with another body. */
   BodyDiffers = "body_differs",
   Recorded = "recorded",
   InProgress = "in_progress",
-  /** It certainly did not run: a new try may take the record over. */
+  /** The call certainly did not run; a new attempt may take over the record. */
   MayTakeOver = "may_take_over",
   Unknown = "unknown",
 }
 
 /**
- * Judges a record found under the key of a call.
+ * Classifies the existing record under the key of a call.
  *
- * @param mine - the record this try wants to stand there
+ * @param ownRecord - the record that this attempt tries to create
  * @param now - calendar time, milliseconds since 1970
  */
 export function classifyExistingRecord(
   record: RunRecord,
-  mine: RunRecord,
+  ownRecord: RunRecord,
   now: number,
 ): ExistingRecordStatus {
-  if (record.bodyDigest !== mine.bodyDigest) {
+  if (record.bodyDigest !== ownRecord.bodyDigest) {
     return ExistingRecordStatus.BodyDiffers;
   }
   switch (record.state) {
@@ -116,7 +117,7 @@
     case RunState.Unknown:
       return ExistingRecordStatus.Unknown;
     case RunState.Open:
-      if (record.attempt === mine.attempt) {
+      if (record.attempt === ownRecord.attempt) {
         return ExistingRecordStatus.OwnAttempt;
       }
       return now <= record.openUntil
@@ -125,29 +126,30 @@
   }
 }
 
-/** What is to be written to withdraw a try whose write is in doubt. */
+/** The write that withdraws an attempt whose own write is in doubt. */
 export interface IWithdrawal {
   readonly record: RunRecord;
   readonly expectedVersion: number | null;
 }
 
 /**
- * How to withdraw a try that was answered "not run" while its write may have
- * landed or may land yet. Left alone, the record would stand open with nobody
- * running it, and each repeat by the caller would be told "in progress".
- * Writing over the version that the delayed write expects keeps it from ever
- * taking effect; null when nothing of this try stands or can land any more.
+ * Determines how to withdraw an attempt that was answered "not run" while its
+ * write may have taken effect or may still do so. Otherwise the record would
+ * stay open with no attempt running it, and each retry of the caller would be
+ * answered "in progress". Overwriting the version that the delayed write
+ * expects prevents it from ever taking effect. Null if no write of this attempt
+ * is in effect or can still take effect.
  */
 export function withdrawalFor(
-  mine: RunRecord,
+  ownRecord: RunRecord,
   found: { readonly record: RunRecord; readonly version: number } | null,
 ): IWithdrawal | null {
-  const withdrawn = { ...mine, state: RunState.NotRun };
+  const withdrawn = { ...ownRecord, state: RunState.NotRun };
   if (found === null) {
     return { record: withdrawn, expectedVersion: null };
   }
   const { record, version } = found;
-  if (record.attempt === mine.attempt) {
+  if (record.attempt === ownRecord.attempt) {
     return record.state === RunState.Open
       ? { record: withdrawn, expectedVersion: version }
       : null;
--- a/src/common/runs/run_record_test.ts
+++ b/src/common/runs/run_record_test.ts
@@ -1,14 +1,14 @@
 import { expect } from "chai";
 import {
-  ExistingRecordStatus,
   classifyExistingRecord,
   createOpenRecord,
+  ExistingRecordStatus,
   RunState,
 } from "./run_record.ts";
 
 const OPEN_UNTIL = 5_000;
 
-describe("judging a run record", () => {
+describe("classifying an existing run record", () => {
   const run = { account: "desk", operation: "delivery-api/publish", key: "k" };
   const details = { bodyDigest: "d", requestId: "r", createdAt: 0 };
   const theirs = createOpenRecord(run, {
@@ -25,8 +25,14 @@
       now: 1_000,
       is: ExistingRecordStatus.InProgress,
     },
-    { name: "open at its bound", found: theirs, now: 5_000, is: "in_progress" },
-    // Its daemon died: "in progress" for ever would keep the caller asking.
+    {
+      name: "open at its time limit",
+      found: theirs,
+      now: 5_000,
+      is: "in_progress",
+    },
+    // The daemon died: "in progress" forever would make the caller retry
+    // forever.
     {
       name: "left behind",
       found: theirs,
@@ -34,13 +40,13 @@
       is: ExistingRecordStatus.Unknown,
     },
     {
-      name: "my own",
+      name: "from this attempt",
       found: mine,
       now: 9_000,
       is: ExistingRecordStatus.OwnAttempt,
     },
     {
-      name: "another body's",
+      name: "for another body",
       found: { ...mine, bodyDigest: "other" },
       now: 0,
       is: ExistingRecordStatus.BodyDiffers,
@@ -53,7 +59,7 @@
     },
   ];
   for (const { name, found, now, is } of CASES) {
-    it(`finds a record ${name}: ${is}`, () => {
+    it(`classifies a record that is ${name} as ${is}`, () => {
       expect(classifyExistingRecord(found, mine, now)).to.equal(is);
     });
   }
