--- a/src/common/reports/burn_page.ts
+++ b/src/common/reports/burn_page.ts
@@ -1,4 +1,4 @@
-/** The burn report as one HTML page that needs nothing else. */
+/** Formats the burn report as a self-contained HTML page. */
 import { scaleLinear, scaleUtc } from "d3-scale";
 import { area, line } from "d3-shape";
 import { burnRate } from "./burn_report.ts";
@@ -7,8 +7,8 @@
   formatBurnRate,
   formatLatency,
   formatObjective,
-  formatSources,
   formatRowTitle,
+  formatSources,
 } from "./burn_text.ts";
 
 const WIDTH = 560;
@@ -19,19 +19,19 @@
 const TIME_TICKS = 6;
 const RATE_TICKS = 4;
 
-const MOMENT = new Intl.DateTimeFormat("en-GB", {
+const DATE_TIME_FORMAT = new Intl.DateTimeFormat("en-GB", {
   timeZone: "UTC",
   dateStyle: "long",
   timeStyle: "short",
 });
-const HOUR = new Intl.DateTimeFormat("en-GB", {
+const HOUR_FORMAT = new Intl.DateTimeFormat("en-GB", {
   timeZone: "UTC",
   hour: "2-digit",
   minute: "2-digit",
 });
 
-/** A plot reaches at least this burn, so that the limit of 1 is seen. */
-const LEAST_TOP = 1.5;
+/** Minimum top of the scale, so that the limit at 1 is always visible. */
+const MINIMUM_SCALE_TOP = 1.5;
 
 const STYLE = `
 body { font: 14px/1.4 system-ui, sans-serif; margin: 2rem; color: #222; }
@@ -47,7 +47,6 @@
 .under { fill: #1f5fa8; opacity: .15; }
 `;
 
-/** Writes the page. */
 export function formatBurnPage(report: IBurnReport): string {
   const cards = report.rows.map((row) => formatCard(row, report.now));
   const body =
@@ -62,7 +61,7 @@
 <style>${STYLE}</style>
 </head>
 <body>
-<h1>Service-level burn, ${MOMENT.format(report.now)} UTC</h1>
+<h1>Service-level burn, ${DATE_TIME_FORMAT.format(report.now)} UTC</h1>
 <p>The share that missed the objective over the share that may. Above 1, the
 dashed line, the objective is being missed. Times are UTC; each point is a
 quarter of an hour.</p>
@@ -103,40 +102,40 @@
     at: Math.min(point.from + QUARTER_HOUR / 2, now),
     burn: burnRate(point, row.objective) ?? 0,
   }));
-  const top = Math.max(LEAST_TOP, ...points.map(({ burn }) => burn));
-  const across = scaleUtc()
+  const top = Math.max(MINIMUM_SCALE_TOP, ...points.map(({ burn }) => burn));
+  const timeScale = scaleUtc()
     .domain([now - DAY, now])
     .range([MARGIN.left, WIDTH - MARGIN.right]);
-  const up = scaleLinear()
+  const rateScale = scaleLinear()
     .domain([0, top])
     .nice(RATE_TICKS)
     .range([HEIGHT - MARGIN.bottom, MARGIN.top]);
   const right = WIDTH - MARGIN.right;
-  const rates = up.ticks(RATE_TICKS).map((rate) => {
-    const y = up(rate);
+  const rates = rateScale.ticks(RATE_TICKS).map((rate) => {
+    const y = rateScale(rate);
     return `<line class="grid" x1="${MARGIN.left}" x2="${right}" y1="${y}" y2="${y}"/>
 <text x="${MARGIN.left - 6}" y="${y + 4}" text-anchor="end">${rate}</text>`;
   });
-  const times = across.ticks(TIME_TICKS).map((time) => {
-    const label = HOUR.format(time);
-    return `<text x="${across(time)}" y="${HEIGHT - 6}" text-anchor="middle">${label}</text>`;
+  const times = timeScale.ticks(TIME_TICKS).map((time) => {
+    const label = HOUR_FORMAT.format(time);
+    return `<text x="${timeScale(time)}" y="${HEIGHT - 6}" text-anchor="middle">${label}</text>`;
   });
-  const limit = up(1);
+  const limit = rateScale(1);
   const path = line<IPlotPoint>()
-    .x(({ at }) => across(at))
-    .y(({ burn }) => up(burn));
-  const under = area<IPlotPoint>()
-    .x(({ at }) => across(at))
-    .y0(up(0))
-    .y1(({ burn }) => up(burn));
+    .x(({ at }) => timeScale(at))
+    .y(({ burn }) => rateScale(burn));
+  const areaUnderLine = area<IPlotPoint>()
+    .x(({ at }) => timeScale(at))
+    .y0(rateScale(0))
+    .y1(({ burn }) => rateScale(burn));
   const dots = points.map(
     ({ at, burn }) =>
-      `<circle cx="${across(at)}" cy="${up(burn)}" r="2" fill="#1f5fa8"/>`,
+      `<circle cx="${timeScale(at)}" cy="${rateScale(burn)}" r="2" fill="#1f5fa8"/>`,
   );
   return `<svg width="${WIDTH}" height="${HEIGHT}" role="img">
 ${rates.join("\n")}
 ${times.join("\n")}
-<path class="under" d="${under(points) ?? ""}"/>
+<path class="under" d="${areaUnderLine(points) ?? ""}"/>
 <path class="burn" d="${path(points) ?? ""}"/>
 ${dots.join("\n")}
 <line class="limit" x1="${MARGIN.left}" x2="${right}" y1="${limit}" y2="${limit}"/>
--- a/src/common/reports/burn_recorder.ts
+++ b/src/common/reports/burn_recorder.ts
@@ -1,4 +1,4 @@
-/** Counts what callers got, by service and client account. */
+/** Counts request results by service and client account. */
 import { Outcome, Reason } from "../types.ts";
 import type { IClock } from "../services/services.ts";
 import type { ICallerRequest } from "../services/types.ts";
@@ -9,10 +9,10 @@
 import type { IRequestResult } from "./request_observer.ts";
 
 /**
- * Refusals that are the caller's own doing or its plan's limit: the promise is
- * made for what a plan allows, so they count neither as good nor as bad.
+ * Refusals caused by the caller itself or by its plan's limits. The objectives
+ * cover only what a plan allows, so these count neither as good nor as bad.
  */
-const NOT_COUNTED: ReadonlySet<Reason> = new Set([
+const EXCLUDED_REASONS: ReadonlySet<Reason> = new Set([
   Reason.UnknownCaller,
   Reason.NotInPlan,
   Reason.NoSuchOperation,
@@ -26,12 +26,12 @@
 
 type Counters = Record<BurnMeasure, BurnCounter>;
 
-/** One daemon's counts; they do not outlast it. */
+/** The counts of one daemon; they are lost when it stops. */
 export class BurnRecorder {
   readonly #clock: IClock;
   readonly #objectives: Objectives;
   readonly #since: number;
-  readonly #parts = new Map<string, Counters>();
+  readonly #counters = new Map<string, Counters>();
 
   constructor(clock: IClock, objectives: Objectives) {
     this.#clock = clock;
@@ -39,17 +39,17 @@
     this.#since = clock.calendar();
   }
 
-  /** Follows one request from its arrival to its final answer. */
+  /** Observes a request from its arrival to its final answer. */
   observeRequest(request: ICallerRequest): RequestObserver {
-    return new RequestObserver(request, this.#clock, (served) =>
-      this.#record(request, served),
+    return new RequestObserver(request, this.#clock, (result) =>
+      this.#record(request, result),
     );
   }
 
-  /** Everything counted so far. */
+  /** Returns all counts so far. */
   read(daemon: string, zone: string): IDaemonBurn {
     const now = this.#clock.calendar();
-    const parts = [...this.#parts].map(([key, counters]) => {
+    const parts = [...this.#counters].map(([key, counters]) => {
       const [service, account] = JSON.parse(key) as [string, string];
       const measures = {
         [BurnMeasure.WholeOnTime]: counters.whole_on_time.read(now),
@@ -62,22 +62,22 @@
     return { daemon, zone, since: this.#since, objectives, parts };
   }
 
-  #record(request: ICallerRequest, served: IRequestResult): void {
-    if (served.reason !== null && NOT_COUNTED.has(served.reason)) {
+  #record(request: ICallerRequest, result: IRequestResult): void {
+    if (result.reason !== null && EXCLUDED_REASONS.has(result.reason)) {
       return;
     }
     const counters = this.#countersOf(request);
     const now = this.#clock.calendar();
     const isGood =
-      served.outcome === Outcome.Completed &&
-      served.finishedAt <= request.deadline;
-    const duration = served.finishedAt - request.arrivedAt;
+      result.outcome === Outcome.Completed &&
+      result.finishedAt <= request.deadline;
+    const duration = result.finishedAt - request.arrivedAt;
     counters.whole_on_time.record(now, duration, { total: 1, isBad: !isGood });
-    if (served.firstToken !== null) {
-      const isBad = this.#isLate(BurnMeasure.FirstToken, served.firstToken);
-      counters.first_token.record(now, served.firstToken, { total: 1, isBad });
+    if (result.firstToken !== null) {
+      const isBad = this.#isLate(BurnMeasure.FirstToken, result.firstToken);
+      counters.first_token.record(now, result.firstToken, { total: 1, isBad });
     }
-    for (const { gap, tokens } of served.gaps) {
+    for (const { gap, tokens } of result.gaps) {
       const isBad = this.#isLate(BurnMeasure.BetweenTokens, gap);
       counters.between_tokens.record(now, gap, { total: tokens, isBad });
     }
@@ -90,14 +90,14 @@
   #countersOf(request: ICallerRequest): Counters {
     const { service, account } = request;
     const key = JSON.stringify([service.name, account.customer.account]);
-    let counters = this.#parts.get(key);
+    let counters = this.#counters.get(key);
     if (counters === undefined) {
       counters = {
         [BurnMeasure.WholeOnTime]: new BurnCounter(),
         [BurnMeasure.FirstToken]: new BurnCounter(),
         [BurnMeasure.BetweenTokens]: new BurnCounter(),
       };
-      this.#parts.set(key, counters);
+      this.#counters.set(key, counters);
     }
     return counters;
   }
--- a/src/common/reports/burn_report.ts
+++ b/src/common/reports/burn_report.ts
@@ -1,4 +1,4 @@
-/** Merges what all daemons counted into one report of service-level burn. */
+/** Merges the counts of all daemons into a report of service-level burn. */
 import { decodeFromCompressedBase64 } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import { buildHistogram } from "./burn_counter.ts";
@@ -12,10 +12,10 @@
   Objectives,
 } from "./burn_types.ts";
 
-/** Quantiles told of each measure, percent. */
+/** Quantiles reported for each measure, in percent. */
 const QUANTILES = { median: 50, ninetyFifth: 95, ninetyNinth: 99 };
 
-/** One measure of one service and client account, over all daemons. */
+/** One measure of a service and client account, over all daemons. */
 export interface IBurnRow {
   readonly service: string;
   readonly account: string;
@@ -23,7 +23,9 @@
   readonly objective: IObjective;
   readonly windows: readonly IBurnWindow[];
   readonly series: readonly IBurnPoint[];
-  /** Milliseconds, over the last one to two hours; null without any. */
+  /**
+   * Milliseconds, over the last one to two hours; null if there are no counts.
+   */
   readonly latency: ILatency | null;
 }
 
@@ -31,8 +33,9 @@
 export interface IBurnWindow extends IBurnCount {
   readonly name: string;
   /**
-   * How fast the allowance is used: the bad share over the share that may be
-   * bad. Above 1 the objective is being missed; null without any requests.
+   * Burn rate of the error budget: the bad share divided by the share that may
+   * be bad. Above 1 the objective is being missed; null if there were no
+   * requests.
    */
   readonly burn: number | null;
 }
@@ -44,17 +47,16 @@
   readonly ninetyNinth: number;
 }
 
-/** The whole report. */
 export interface IBurnReport {
   /** Calendar time, milliseconds since 1970. */
   readonly now: number;
-  /** Daemons whose counts are in it, and since when each has counted. */
+  /** Daemons whose counts are included, with the start of their counting. */
   readonly daemons: readonly {
     readonly daemon: string;
     readonly zone: string;
     readonly since: number;
   }[];
-  /** Daemons that gave no answer: their counts are missing. */
+  /** Daemons that did not answer; their counts are missing. */
   readonly silent: readonly string[];
   readonly rows: readonly IBurnRow[];
 }
@@ -100,7 +102,7 @@
         account,
         measure,
         objective: objectives[measure],
-        ...mergeMeasured(
+        ...mergeMeasure(
           own.map((part) => part.measures[measure]),
           objectives[measure],
         ),
@@ -109,7 +111,7 @@
   });
 }
 
-function mergeMeasured(
+function mergeMeasure(
   measured: readonly IMeasureCounts[],
   objective: IObjective,
 ): Pick<IBurnRow, "windows" | "series" | "latency"> {
@@ -119,17 +121,20 @@
     return { name, total, bad, burn: burnRate({ total, bad }, objective) };
   });
   const points = measured.flatMap(({ series }) => series);
-  const moments = [...new Set(points.map(({ from }) => from))].sort(
+  const timestamps = [...new Set(points.map(({ from }) => from))].sort(
     (left, right) => left - right,
   );
-  const series = moments.map((from) => ({
+  const series = timestamps.map((from) => ({
     from,
     ...sum(points.filter((point) => point.from === from)),
   }));
   return { windows, series, latency: mergeLatency(measured) };
 }
 
-/** The bad share over the share that may be bad, or null without any. */
+/**
+ * The burn rate: the bad share divided by the share that may be bad, or null if
+ * nothing was counted.
+ */
 export function burnRate(
   count: IBurnCount,
   objective: IObjective,
--- a/src/common/reports/burn_text.ts
+++ b/src/common/reports/burn_text.ts
@@ -1,4 +1,4 @@
-/** The burn report as text for people. */
+/** Formats the burn report as text. */
 import { BurnMeasure } from "./burn_types.ts";
 import type { IObjective } from "./burn_types.ts";
 import type { IBurnReport, IBurnRow, ILatency } from "./burn_report.ts";
@@ -12,7 +12,7 @@
   [BurnMeasure.BetweenTokens]: "between tokens",
 };
 
-/** One line a measure, with the burn over each window. */
+/** Writes one line per measure, with the burn rate of each window. */
 export function formatBurn(report: IBurnReport): string {
   const windows = report.rows[0]?.windows.map(({ name }) => name) ?? [];
   const head = [
@@ -39,31 +39,33 @@
   return `${title}${body}\n${formatSources(report)}`;
 }
 
-/** The row's title, for text and plots. */
+/** The title of a row in text and plots. */
 export function formatRowTitle(row: IBurnRow): string {
   return `${row.service} / ${row.account}: ${MEASURE_NAMES[row.measure]}`;
 }
 
-/** Such as `95% within 820 ms`. */
+/** Formats an objective as `95% in 820 ms`. */
 export function formatObjective(objective: IObjective): string {
   const share = `${Number((objective.share * 100).toFixed(3))}%`;
   const { within } = objective;
   return within === null ? share : `${share} in ${within} ms`;
 }
 
-/** A burn rate with two digits, or a dash without any requests. */
+/**
+ * Formats a burn rate with two decimals, or a dash if there were no requests.
+ */
 export function formatBurnRate(burn: number | null): string {
   return burn === null ? NONE : burn.toFixed(2);
 }
 
-/** Median, 95th and 99th percentile, milliseconds. */
+/** Formats the median, 95th and 99th percentile in milliseconds. */
 export function formatLatency(latency: ILatency | null): string {
   return latency === null
     ? NONE
     : `${latency.median}/${latency.ninetyFifth}/${latency.ninetyNinth}`;
 }
 
-/** Whose counts are in the report, and whose are missing. */
+/** Lists the daemons whose counts are included and those that are missing. */
 export function formatSources(report: IBurnReport): string {
   const counted = report.daemons.map(({ daemon, zone, since }) => [
     `  ${zone}`,
--- a/src/common/reports/burn_types.ts
+++ b/src/common/reports/burn_types.ts
@@ -1,34 +1,41 @@
-/** Service-level burn: what is counted, and how it passes between programs. */
+/** Types of the service-level counts that daemons send to the command line. */
 import type { AccountName, ServiceName, ZoneName } from "../types.ts";
 
-/** What is measured against an objective. */
+/** A measure that has an objective. */
 export enum BurnMeasure {
-  /** The request was answered whole and within its plan's deadline. */
+  /**
+   * The request was answered completely and within the deadline of its plan.
+   */
   WholeOnTime = "whole_on_time",
-  /** The first token of a stream came within the objective's time. */
+  /** The first token of a stream arrived within the time of the objective. */
   FirstToken = "first_token",
-  /** A token came within the objective's time after the one before it. */
+  /**
+   * A token arrived within the time of the objective after the previous one.
+   */
   BetweenTokens = "between_tokens",
 }
 
-/** What a measure is held to. */
+/** The objective of a measure. */
 export interface IObjective {
-  /** The share that must be good, above 0 and below 1. */
+  /** Share of requests or tokens that must be good; above 0 and below 1. */
   readonly share: number;
-  /** Milliseconds within which it is good; null where a plan says it. */
+  /** Time limit in milliseconds; null if the plan defines it. */
   readonly within: number | null;
 }
 
 /** The objectives of all measures. */
 export type Objectives = Readonly<Record<BurnMeasure, IObjective>>;
 
-/** How much was measured, and how much of it missed the objective. */
+/** Number of measurements, and how many of them missed the objective. */
 export interface IBurnCount {
   readonly total: number;
   readonly bad: number;
 }
 
-/** The windows that burn is told over, longest last; lengths in minutes. */
+/**
+ * Windows over which the burn rate is reported, shortest first; lengths in
+ * minutes.
+ */
 export const BURN_WINDOWS: readonly {
   readonly name: string;
   readonly minutes: number;
@@ -39,36 +46,36 @@
   { name: "24 h", minutes: 1_440 },
 ];
 
-/** Minutes of one point of the series. */
+/** Minutes covered by one point of the series. */
 export const SERIES_STEP = 15;
 
-/** One point: counts of the {@link SERIES_STEP} minutes from a moment on. */
+/** The counts of the {@link SERIES_STEP} minutes that start at one time. */
 export interface IBurnPoint extends IBurnCount {
-  /** Calendar time, milliseconds since 1970. */
+  /** Start of the point; calendar time, milliseconds since 1970. */
   readonly from: number;
 }
 
-/** What one daemon counted of one service and client account. */
+/** The counts of one daemon for one service and client account. */
 export interface IAccountBurn {
   readonly service: ServiceName;
   readonly account: AccountName;
   readonly measures: Readonly<Record<BurnMeasure, IMeasureCounts>>;
 }
 
-/** One measure of a part. */
+/** The counts of one measure. */
 export interface IMeasureCounts {
   /** In the order of {@link BURN_WINDOWS}. */
   readonly windows: readonly IBurnCount[];
   readonly series: readonly IBurnPoint[];
-  /** Milliseconds of the last one to two hours, an encoded HDR histogram. */
+  /** Encoded HDR histogram of milliseconds over the last one to two hours. */
   readonly histogram: string;
 }
 
-/** What one daemon counted. Nothing of it outlasts the daemon. */
+/** The counts of one daemon; they are lost when it stops. */
 export interface IDaemonBurn {
   readonly daemon: string;
   readonly zone: ZoneName;
-  /** When it began to count; calendar time, milliseconds since 1970. */
+  /** Start of counting; calendar time, milliseconds since 1970. */
   readonly since: number;
   readonly objectives: Objectives;
   readonly parts: readonly IAccountBurn[];
--- a/src/common/reports/late_calls.ts
+++ b/src/common/reports/late_calls.ts
@@ -1,49 +1,52 @@
 /**
- * Where the time of model calls is lost, from many processes' logs: how many of
- * each model's calls were late or not served, by cause, with examples to look
- * up. Platform-free: lines go in as fields, text comes out.
+ * Summarizes late and unserved model calls from the logs of many processes: how
+ * many calls of each model, by cause, with example requests. Does no I/O: takes
+ * log fields and returns text.
  */
 import type { ILogLine } from "./request_timeline.ts";
 import { formatTable } from "./text_table.ts";
 
 /** Why a call was not answered on time. */
 export enum LateCause {
-  /** It waited for a group, and its first event was late. */
+  /** The call waited for a group, which delayed its first event. */
   Waited = "waited",
-  /** It was sent at once, and its first event was late all the same. */
+  /** The call was sent without waiting, but its first event was late. */
   SlowFirstEvent = "slow_first_event",
-  /** Its group was given up before the first event. */
+  /** Its group was abandoned before the first event. */
   MovedBeforeFirstEvent = "moved_before_first_event",
-  /** Its group was given up within the answer, which paused for too long. */
+  /** Its group was abandoned within the answer, which paused for too long. */
   MovedWithinAnswer = "moved_within_answer",
-  /** The answer paused for too long though it came from one group. */
+  /** The answer paused for too long although it came from one group. */
   Paused = "paused",
   /** The caller left before the end. */
   CallerLeft = "caller_left",
-  /** Turned away, or ended without an answer. */
+  /** Rejected, or ended without an answer. */
   NotServed = "not_served",
 }
 
-/** The calls of one model that one cause made late. */
+/** The calls of one model that were late for one cause. */
 export interface ILateRow {
   readonly model: string;
   readonly cause: LateCause;
-  /** The reason as logged, where the call was not served. */
+  /** The logged reason if the call was not served; otherwise empty. */
   readonly reason: string;
   readonly calls: number;
-  /** Part of the model's calls. */
+  /** Share of all calls of the model. */
   readonly share: number;
-  /** Seconds since the first line with the most of them, and how many. */
+  /**
+   * The second with the most of these calls, counted from the first log line,
+   * and their number.
+   */
   readonly worst: { readonly second: number; readonly calls: number };
-  /** Some of the requests, to be explained one by one. */
+  /** Example request identifiers, for use with the explain command. */
   readonly examples: readonly string[];
 }
 
-/** A wait that makes a first event late rather than its group, milliseconds. */
+/** Milliseconds; a longer wait, not the group, is why a first event is late. */
 const NOTICEABLE_WAIT = 40;
 
-const MOST_EXAMPLES = 2;
-const MILLISECONDS_A_SECOND = 1_000;
+const MAXIMUM_EXAMPLES = 2;
+const MILLISECONDS_PER_SECOND = 1_000;
 const PERCENT = 100;
 
 const WHOLE = "whole";
@@ -54,7 +57,7 @@
   readonly at: number;
 }
 
-/** The rows of all models, the largest first. */
+/** Returns the rows of all models, by descending number of calls. */
 export function summarizeLateCalls(
   lines: readonly ILogLine[],
 ): readonly ILateRow[] {
@@ -65,7 +68,7 @@
   for (const { at, fields } of calls) {
     const model = fields["model"] ?? "";
     totals.set(model, (totals.get(model) ?? 0) + 1);
-    const cause = causeOf(fields);
+    const cause = classifyCause(fields);
     if (cause !== null) {
       const isServed = cause !== LateCause.NotServed;
       const reason = isServed ? "" : (fields["reason"] ?? "");
@@ -75,11 +78,11 @@
     }
   }
   return [...late]
-    .map(([key, found]) => rowOf(key, found, totals))
+    .map(([key, found]) => buildRow(key, found, totals))
     .sort((one, other) => other.calls - one.calls);
 }
 
-/** A line a row, for people. */
+/** Formats the rows as a table. */
 export function formatLateCalls(rows: readonly ILateRow[]): string {
   const head = [
     "model",
@@ -102,8 +105,8 @@
   return formatTable([head, ...body]);
 }
 
-/** Null for a call that was answered on time. */
-function causeOf(fields: ILogLine["fields"]): LateCause | null {
+/** The cause of a late call, or null if it was answered on time. */
+function classifyCause(fields: ILogLine["fields"]): LateCause | null {
   const { outcome } = fields;
   if (outcome === CALLER_LEFT) {
     return LateCause.CallerLeft;
@@ -111,28 +114,30 @@
   if (outcome !== WHOLE) {
     return LateCause.NotServed;
   }
-  const wasMoved = numberOf(fields, "sends") > 1;
-  // Logs of older processes name no objective, so nothing is known to be late.
-  const objective = numberOf(fields, "objective_ms");
-  if (objective > 0 && numberOf(fields, "first_event_ms") > objective) {
+  const wasMoved = numberField(fields, "sends") > 1;
+  // Logs of older processes have no objective; their first events cannot be
+  // classified as late.
+  const objective = numberField(fields, "objective_ms");
+  if (objective > 0 && numberField(fields, "first_event_ms") > objective) {
     if (wasMoved) {
       return LateCause.MovedBeforeFirstEvent;
     }
-    return numberOf(fields, "waited_ms") > NOTICEABLE_WAIT
+    return numberField(fields, "waited_ms") > NOTICEABLE_WAIT
       ? LateCause.Waited
       : LateCause.SlowFirstEvent;
   }
-  const limit = numberOf(fields, "pause_limit_ms");
-  const hasPaused = limit > 0 && numberOf(fields, "longest_pause_ms") > limit;
+  const limit = numberField(fields, "pause_limit_ms");
+  const hasPaused =
+    limit > 0 && numberField(fields, "longest_pause_ms") > limit;
   if (!hasPaused) {
     return null;
   }
   return wasMoved ? LateCause.MovedWithinAnswer : LateCause.Paused;
 }
 
-function rowOf(
+function buildRow(
   key: string,
-  found: readonly ILateCall[],
+  lateCalls: readonly ILateCall[],
   totals: ReadonlyMap<string, number>,
 ): ILateRow {
   const [model, cause, reason] = JSON.parse(key) as [string, LateCause, string];
@@ -140,17 +145,19 @@
     model,
     cause,
     reason,
-    calls: found.length,
-    share: found.length / (totals.get(model) ?? 1),
-    worst: worstSecond(found),
-    examples: found.slice(0, MOST_EXAMPLES).map(({ request }) => request),
+    calls: lateCalls.length,
+    share: lateCalls.length / (totals.get(model) ?? 1),
+    worst: worstSecond(lateCalls),
+    examples: lateCalls
+      .slice(0, MAXIMUM_EXAMPLES)
+      .map(({ request }) => request),
   };
 }
 
-function worstSecond(found: readonly ILateCall[]): ILateRow["worst"] {
+function worstSecond(lateCalls: readonly ILateCall[]): ILateRow["worst"] {
   const counts = new Map<number, number>();
-  for (const { at } of found) {
-    const second = Math.floor(at / MILLISECONDS_A_SECOND);
+  for (const { at } of lateCalls) {
+    const second = Math.floor(at / MILLISECONDS_PER_SECOND);
     counts.set(second, (counts.get(second) ?? 0) + 1);
   }
   const [[second, calls] = [0, 0]] = [...counts].sort(
@@ -159,6 +166,6 @@
   return { second, calls };
 }
 
-function numberOf(fields: ILogLine["fields"], name: string): number {
+function numberField(fields: ILogLine["fields"], name: string): number {
   return Number(fields[name] ?? 0);
 }
--- a/src/common/reports/late_calls_test.ts
+++ b/src/common/reports/late_calls_test.ts
@@ -44,8 +44,8 @@
 ];
 
 describe("late calls by cause", () => {
-  // Operators see that a tenth of a model's calls was late. Whether to add
-  // instances or to look for a broken link depends on why.
+  // A summary without causes would not tell operators whether to add instances
+  // or to look for a broken link.
   it("tells why, how many and when", () => {
     expect(formatLateCalls(summarizeLateCalls(LINES))).toMatchSnapshot();
   });
--- a/src/common/reports/reports_test.ts
+++ b/src/common/reports/reports_test.ts
@@ -23,8 +23,11 @@
   [BurnMeasure.BetweenTokens]: { share: 0.95, within: 58 },
 };
 
-/** A daemon that counted one request a minute; every tenth was late. */
-function burnOf(daemon: string, lateFrom: number): IDaemonBurn {
+/**
+ * Counts of a daemon with one request per minute, every tenth of them late from
+ * `lateFrom` minutes ago.
+ */
+function burnWithLateRequests(daemon: string, lateFrom: number): IDaemonBurn {
   const counter = new BurnCounter();
   const none = new BurnCounter();
   for (let minute = 600; minute >= 0; minute--) {
@@ -75,7 +78,10 @@
 }
 
 describe("reports", () => {
-  const daemons = [burnOf("entry-a1/1", 600), burnOf("entry-a2/1", 60)];
+  const daemons = [
+    burnWithLateRequests("entry-a1/1", 600),
+    burnWithLateRequests("entry-a2/1", 60),
+  ];
 
   it("tells burn as text", () => {
     const report = buildBurnReport(daemons, ["entry-b1/1"], NOW);
--- a/src/common/reports/request_observer.ts
+++ b/src/common/reports/request_observer.ts
@@ -1,40 +1,40 @@
-/** Watches one request's answer on its way to the caller. */
+/** Measures the answer to one request on its way to the caller. */
 import type { Result } from "ts-results-es";
 import type { IClock, IEngineToken } from "../services/services.ts";
 import type { CallerAnswer, ICallerRequest } from "../services/types.ts";
 import type { IRefusal, MonotonicTime, Outcome, Reason } from "../types.ts";
 
 /**
- * Gaps noted of one stream; those beyond it are not counted. Engines
- * send tens of tokens a second, so that this is minutes of one stream.
+ * Maximum gaps recorded per stream; later ones are not counted. Engines send
+ * tens of tokens per second, so this covers minutes of a stream.
  */
 const MAXIMUM_GAPS = 4_096;
 
-/** Tokens that came together, and how long each took on average. */
+/** Tokens that arrived together, with the average time of each. */
 export interface ITokenGap {
-  /** Milliseconds. */
+  /** Average milliseconds per token. */
   readonly gap: number;
   readonly tokens: number;
 }
 
-/** What a caller got, and when. */
+/** The result of a request and its timing. */
 export interface IRequestResult {
   readonly outcome: Outcome;
-  /** Why there was no whole answer; null when there was. */
+  /** Why there is no complete answer; null if there is one. */
   readonly reason: Reason | null;
   readonly finishedAt: MonotonicTime;
-  /** Milliseconds until the first token of a stream; null for others. */
+  /** Milliseconds until the first token of a stream; null for other answers. */
   readonly firstToken: number | null;
   readonly gaps: readonly ITokenGap[];
 }
 
 type TokenBatch = Result<readonly IEngineToken[], IRefusal>;
 
-/** Follows one request; {@link finish} reports what became of it. */
+/** Observes one request; {@link finish} reports its result. */
 export class RequestObserver {
   readonly #request: ICallerRequest;
   readonly #clock: IClock;
-  readonly #report: (served: IRequestResult) => void;
+  readonly #onFinish: (result: IRequestResult) => void;
   readonly #gaps: ITokenGap[] = [];
   #reason: Reason | null = null;
   #firstToken: number | null = null;
@@ -42,14 +42,14 @@
   constructor(
     request: ICallerRequest,
     clock: IClock,
-    report: (served: IRequestResult) => void,
+    onFinish: (result: IRequestResult) => void,
   ) {
     this.#request = request;
     this.#clock = clock;
-    this.#report = report;
+    this.#onFinish = onFinish;
   }
 
-  /** The same answer, timed as the caller takes it. */
+  /** Returns the same answer, timed as the caller reads it. */
   observeAnswer(
     answer: Result<CallerAnswer, IRefusal>,
   ): Result<CallerAnswer, IRefusal> {
@@ -63,16 +63,16 @@
             ...found,
             answer: {
               ...found.answer,
-              tokens: this.#time(found.answer.tokens),
+              tokens: this.#timeTokens(found.answer.tokens),
             },
           }
         : found,
     );
   }
 
-  /** @param outcome - as written to the caller */
+  /** @param outcome - the outcome that was sent to the caller */
   finish(outcome: Outcome): void {
-    this.#report({
+    this.#onFinish({
       outcome,
       reason: this.#reason,
       finishedAt: this.#clock.now(),
@@ -82,11 +82,13 @@
   }
 
   /**
-   * A gap runs from when the next tokens were asked for, so that a caller who
-   * reads slowly is not taken for an engine that writes slowly.
+   * A gap starts when the next tokens are requested, so that a slow reader is
+   * not mistaken for a slow engine.
    */
-  async *#time(tokens: AsyncIterable<TokenBatch>): AsyncIterable<TokenBatch> {
-    let askedAt = this.#clock.now();
+  async *#timeTokens(
+    tokens: AsyncIterable<TokenBatch>,
+  ): AsyncIterable<TokenBatch> {
+    let requestedAt = this.#clock.now();
     for await (const batch of tokens) {
       const now = this.#clock.now();
       if (batch.isErr()) {
@@ -95,10 +97,10 @@
         this.#firstToken = now - this.#request.arrivedAt;
       } else if (this.#gaps.length < MAXIMUM_GAPS && batch.value.length > 0) {
         const { length } = batch.value;
-        this.#gaps.push({ gap: (now - askedAt) / length, tokens: length });
+        this.#gaps.push({ gap: (now - requestedAt) / length, tokens: length });
       }
       yield batch;
-      askedAt = this.#clock.now();
+      requestedAt = this.#clock.now();
     }
   }
 }
--- a/src/common/reports/request_timeline.ts
+++ b/src/common/reports/request_timeline.ts
@@ -1,37 +1,36 @@
 /**
- * What many processes' logs tell of one request: its own lines, and what
- * happened meanwhile to the groups it was sent to. Platform-free: lines go in
- * as fields, text comes out.
+ * Collects the log lines of one request from many processes, with the events of
+ * the groups it was sent to. Does no I/O: takes log fields and returns text.
  */
 
-/** One line of a log. */
+/** A parsed log line. */
 export interface ILogLine {
-  /** Calendar milliseconds. */
+  /** Calendar time, milliseconds since 1970. */
   readonly at: number;
   readonly fields: Readonly<Record<string, string>>;
 }
 
-/** One thing that happened, with what decided it. */
+/** One event of the timeline. */
 export interface ITimelineStep {
-  /** Calendar time as logged, ISO 8601. */
+  /** Calendar time as logged, in ISO 8601. */
   readonly time: string;
   /** Milliseconds since the request's first line; negative before it. */
   readonly after: number;
   readonly process: string;
   readonly event: string;
-  /** False for a line about a group that the request was sent to. */
+  /** False for an event of a group that the request was sent to. */
   readonly isOwn: boolean;
-  /** The other fields of the line. */
+  /** All other fields of the line. */
   readonly fields: Readonly<Record<string, string>>;
 }
 
-/** How long before the first and after the last line groups are looked at. */
-const AROUND = 2_000;
+/** Milliseconds around the request's lines within which group events count. */
+const GROUP_EVENT_MARGIN = 2_000;
 
-/** Events that tell how a group fared. */
+/** Events that describe the state of a group. */
 const GROUP_EVENTS: readonly string[] = ["group", "group_suspected"];
 
-/** Fields that every line has, or that the step tells already. */
+/** Fields that every line has, or that the step already contains. */
 const COMMON_FIELDS: readonly string[] = [
   "time",
   "severity",
@@ -40,7 +39,7 @@
   "request",
 ];
 
-/** The steps in order of time; empty if no line names the request. */
+/** The steps in chronological order; empty if no line names the request. */
 export function buildTimeline(
   lines: readonly ILogLine[],
   request: string,
@@ -54,17 +53,18 @@
   }
   const groups = new Set(own.flatMap(({ fields }) => fields["group"] || []));
   const related = lines.filter(({ at, fields }) => {
-    const isMeanwhile = at >= first - AROUND && at <= last + AROUND;
+    const isWithinMargin =
+      at >= first - GROUP_EVENT_MARGIN && at <= last + GROUP_EVENT_MARGIN;
     const isOfGroup = groups.has(fields["group"] ?? "");
     const isGroupEvent = GROUP_EVENTS.includes(fields["event"] ?? "");
-    return isMeanwhile && isOfGroup && isGroupEvent;
+    return isWithinMargin && isOfGroup && isGroupEvent;
   });
   return [...own, ...related]
     .sort((one, other) => one.at - other.at)
-    .map((line) => stepOf(line, { first, isOwn: own.includes(line) }));
+    .map((line) => buildStep(line, { first, isOwn: own.includes(line) }));
 }
 
-/** A line a step, for people. */
+/** Formats one line per step. */
 export function formatTimeline(steps: readonly ITimelineStep[]): string {
   return steps
     .map(({ after, process, event, isOwn, fields }) => {
@@ -79,7 +79,7 @@
     .join("");
 }
 
-function stepOf(
+function buildStep(
   line: ILogLine,
   { first, isOwn }: { readonly first: number; readonly isOwn: boolean },
 ): ITimelineStep {
--- a/src/common/reports/request_story_test.ts
+++ b/src/common/reports/request_timeline_test.ts
@@ -1,11 +1,11 @@
 import { expect, use } from "chai";
 import { jestSnapshotPlugin } from "mocha-chai-jest-snapshot";
 import { parseLogLines } from "../../adapters/log/log_lines.ts";
-import { formatTimeline, buildTimeline } from "./request_timeline.ts";
+import { buildTimeline, formatTimeline } from "./request_timeline.ts";
 
 use(jestSnapshotPlugin());
 
-/** Lines of two processes, not in order, as an engineer would gather them. */
+/** Lines of two processes, out of order, as an engineer would collect them. */
 const LOG = `
 time=2026-07-16T03:20:41.100Z severity=info event=send_silent process=b-1 request=ab12 group=group-5 silent_ms=198 last_event=21
 time=2026-07-16T03:20:42.900Z severity=warn event=model_call process=b-1 request=ab12 route=briefs outcome=target_failed reason=target_lost sends=2 group=""
--- a/src/common/reports/status_text.ts
+++ b/src/common/reports/status_text.ts
@@ -1,20 +1,20 @@
-/** The whole deployment's status as text for people. */
+/** Formats the status of the whole deployment as text. */
 import { PlanListName } from "../plans/types.ts";
 import type { IDaemonStatus } from "../services/daemon_status.ts";
 import type { IDaemonEntry } from "../services/services.ts";
 import { formatDuration, formatTable } from "./text_table.ts";
 
-/** What one daemon answered, or why it did not. */
+/** The status of one daemon, or why it is missing. */
 export interface IStatusAnswer {
   readonly entry: IDaemonEntry;
   readonly answer: IDaemonStatus | null;
   readonly failure: string;
 }
 
-/** What the report is made of. */
+/** The input of the report. */
 export interface IStatusReport {
   readonly daemons: readonly IStatusAnswer[];
-  /** Entries on the platform that could not be read, already formatted. */
+  /** Formatted findings for daemon entries on the platform that are invalid. */
   readonly findings: readonly string[];
   /** Calendar time of the report, milliseconds since 1970. */
   readonly now: number;
@@ -22,7 +22,7 @@
 
 const NONE = "-";
 
-/** Versions, daemons, domains, groups, and what is degraded since when. */
+/** Formats list versions, daemons, domains, groups, alarms and findings. */
 export function formatStatus(report: IStatusReport): string {
   const statuses = report.daemons.flatMap(({ answer }) => answer ?? []);
   const sections = [
@@ -41,16 +41,16 @@
 }
 
 function versionRows(statuses: readonly IDaemonStatus[]): string[][] {
-  const zones = unique(statuses.map(({ zone }) => zone));
+  const zones = sortedUnique(statuses.map(({ zone }) => zone));
   const lists = Object.values(PlanListName).map((list) => [
     `  ${list}`,
-    ...zones.map((zone) => rangeIn(statuses, zone, list)),
+    ...zones.map((zone) => versionRange(statuses, zone, list)),
   ]);
   return zones.length === 0 ? [] : [["", ...zones], ...lists];
 }
 
-/** One version, or the lowest and highest where a zone's daemons differ. */
-function rangeIn(
+/** One version, or the lowest and highest if the daemons of a zone differ. */
+function versionRange(
   statuses: readonly IDaemonStatus[],
   zone: string,
   list: PlanListName,
@@ -58,7 +58,7 @@
   const versions = statuses
     .filter((status) => status.zone === zone)
     .flatMap((status) => status.lists)
-    .filter((held) => held.list === list)
+    .filter((entry) => entry.list === list)
     .map(({ version }) => version);
   const lowest = Math.min(...versions);
   const highest = Math.max(...versions);
@@ -80,7 +80,7 @@
     return [`  ${zone}`, instance, state, String(inFlight), confirmed];
   });
   const head = ["  zone", "daemon", "state", "in flight", "lists confirmed"];
-  return [head, ...rows.sort(byText)];
+  return [head, ...rows.sort(compareRows)];
 }
 
 function stateOf(status: IDaemonStatus): string {
@@ -90,37 +90,37 @@
   return status.ready ? "ready" : "not ready";
 }
 
-/** Each domain as the daemon that has seen its latest epoch tells it. */
+/** One row per domain, from the daemon that knows its latest epoch. */
 function domainRows(statuses: readonly IDaemonStatus[]): string[][] {
-  const seen = new Map<string, IDaemonStatus["domains"][number]>();
+  const latest = new Map<string, IDaemonStatus["domains"][number]>();
   for (const domain of statuses.flatMap((status) => status.domains)) {
-    if ((seen.get(domain.domain)?.epoch ?? -1) < domain.epoch) {
-      seen.set(domain.domain, domain);
+    if ((latest.get(domain.domain)?.epoch ?? -1) < domain.epoch) {
+      latest.set(domain.domain, domain);
     }
   }
-  const rows = [...seen.values()].map(({ domain, holder, epoch }) => [
+  const rows = [...latest.values()].map(({ domain, holder, epoch }) => [
     `  ${domain}`,
     holder ?? NONE,
     String(epoch),
   ]);
   const head = ["  domain", "lease holder", "epoch"];
-  return rows.length === 0 ? [] : [head, ...rows.sort(byText)];
+  return rows.length === 0 ? [] : [head, ...rows.sort(compareRows)];
 }
 
-/** Each group at the latest generation told of it, zone by zone. */
+/** One row per zone, group and service, at the latest generation reported. */
 function groupRows(statuses: readonly IDaemonStatus[]): string[][] {
   type Group = IDaemonStatus["groups"][number];
-  const seen = new Map<string, { zone: string; group: Group }>();
+  const latest = new Map<string, { zone: string; group: Group }>();
   for (const { zone, groups } of statuses) {
     for (const group of groups) {
       const key = JSON.stringify([zone, group.id, group.service]);
-      const known = seen.get(key)?.group.generation ?? -1;
+      const known = latest.get(key)?.group.generation ?? -1;
       if (known < group.generation) {
-        seen.set(key, { zone, group });
+        latest.set(key, { zone, group });
       }
     }
   }
-  const rows = [...seen.values()].map(({ zone, group }) => [
+  const rows = [...latest.values()].map(({ zone, group }) => [
     `  ${zone}`,
     group.id,
     group.service,
@@ -129,7 +129,7 @@
     group.members.join(" "),
   ]);
   const head = ["  zone", "group", "service", "generation", "state", "members"];
-  return rows.length === 0 ? [] : [head, ...rows.sort(byText)];
+  return rows.length === 0 ? [] : [head, ...rows.sort(compareRows)];
 }
 
 function alarmRows(
@@ -144,7 +144,7 @@
       detail,
     ]),
   );
-  return rows.sort(byText);
+  return rows.sort(compareRows);
 }
 
 function findingRows(
@@ -152,14 +152,19 @@
   statuses: readonly IDaemonStatus[],
 ): string[][] {
   const all = statuses.flatMap(({ findings }) => findings);
-  return unique([...report.findings, ...all]).map((text) => [`  ${text}`]);
+  return sortedUnique([...report.findings, ...all]).map((text) => [
+    `  ${text}`,
+  ]);
 }
 
-function unique(texts: readonly string[]): string[] {
+function sortedUnique(texts: readonly string[]): string[] {
   return [...new Set(texts)].sort();
 }
 
-function byText(left: readonly string[], right: readonly string[]): number {
+function compareRows(
+  left: readonly string[],
+  right: readonly string[],
+): number {
   const [one, other] = [left.join("\n"), right.join("\n")];
   if (one === other) {
     return 0;
--- a/src/common/reports/text_table.ts
+++ b/src/common/reports/text_table.ts
@@ -1,6 +1,6 @@
-/** Columns of text for people. */
+/** Formats tables and durations as text. */
 
-/** Aligns rows in columns, two blanks apart; no blanks at the ends of lines. */
+/** Aligns rows in columns separated by two blanks, without trailing blanks. */
 export function formatTable(rows: readonly (readonly string[])[]): string {
   const widths: number[] = [];
   for (const row of rows) {
@@ -26,7 +26,7 @@
   ["s", 1_000],
 ];
 
-/** A duration in its largest whole unit, such as `4 min`. */
+/** Formats a duration in its largest whole unit, such as `4 min`. */
 export function formatDuration(milliseconds: number): string {
   const unit = UNITS.find(([, size]) => milliseconds >= size);
   if (unit === undefined) {
