--- a/src/common/backoff.ts
+++ b/src/common/backoff.ts
@@ -1,20 +1,20 @@
-/** Pauses between tries that grow, with jitter. */
+/** Computes growing delays between retries, with jitter. */
 import type { IRandom } from "./services/services.ts";
 
-/** Share of a pause that is left to chance. */
+/** Share of a delay that is random. */
 const JITTER_SHARE = 0.5;
 
-/** Bounds on the pauses, milliseconds. */
+/** Bounds of the delays, milliseconds. */
 export interface IBackoffBounds {
   readonly shortest: number;
   readonly longest: number;
 }
 
 /**
- * Doubles the pause on each failure up to a bound. Without growth an outage
- * would be met by as many calls as the fleet can send; without jitter daemons
- * that failed together would ask together, and the platform, just back, would
- * see them all in one moment and fail again.
+ * Doubles the delay on each failure up to a maximum. Without growth, an outage
+ * would be met by as many calls as the fleet can send. Without jitter, daemons
+ * that failed together would retry together, and a platform that has just
+ * recovered would receive all calls at once and fail again.
  */
 export class Backoff {
   readonly #random: IRandom;
@@ -26,15 +26,15 @@
     this.#bounds = bounds;
   }
 
-  /** The pause after one more failure, milliseconds. */
+  /** Records a failure and returns the delay that follows, milliseconds. */
   nextDelay(): number {
     const { shortest, longest } = this.#bounds;
-    const pause = Math.min(shortest * 2 ** this.#failures, longest);
-    this.#failures = pause < longest ? this.#failures + 1 : this.#failures;
-    return pause * (1 - JITTER_SHARE * this.#random.next());
+    const delay = Math.min(shortest * 2 ** this.#failures, longest);
+    this.#failures = delay < longest ? this.#failures + 1 : this.#failures;
+    return delay * (1 - JITTER_SHARE * this.#random.next());
   }
 
-  /** Starts over after a success. */
+  /** Resets the delay after a success. */
   reset(): void {
     this.#failures = 0;
   }
--- a/src/common/backoff_test.ts
+++ b/src/common/backoff_test.ts
@@ -3,7 +3,7 @@
 import { Backoff } from "./backoff.ts";
 
 describe("back-off", () => {
-  it("makes fewer calls the longer an outage lasts, and never in step", () => {
+  it("retries less often the longer an outage lasts, and never in step", () => {
     const bounds = { shortest: 1_000, longest: 60_000 };
     const callers = Array.from(
       { length: 100 },
--- a/src/common/disposable.ts
+++ b/src/common/disposable.ts
@@ -1,16 +1,19 @@
-/** Ownership of things that must be released: timers, listeners, sockets. */
+/** Ownership of resources that must be released: timers, listeners, sockets. */
 
-/** Something released once, synchronously. */
+/** A resource that is released once, synchronously. */
 export interface IDisposable {
   dispose(): void;
 }
 
-/** Releases everything registered with it, newest first. */
+/** Releases all registered items, newest first. */
 export class DisposableStore implements IDisposable {
   readonly #items: IDisposable[] = [];
   #isDisposed = false;
 
-  /** Takes ownership of an item; released at once if the store already is. */
+  /**
+   * Takes ownership of an item; if the store is already disposed, disposes it
+   * immediately.
+   */
   add<T extends IDisposable>(item: T): T {
     if (this.#isDisposed) {
       item.dispose();
--- a/src/common/emitter.ts
+++ b/src/common/emitter.ts
@@ -4,11 +4,11 @@
 /** Registers a listener; disposing the result removes it. */
 export type EventSource<T> = (listener: (value: T) => void) => IDisposable;
 
-/** Fires values to every registered listener, in order of registration. */
+/** Emits values to all registered listeners, in order of registration. */
 export class Emitter<T> implements IDisposable {
   readonly #listeners = new Set<(value: T) => void>();
 
-  /** The side handed to listeners. */
+  /** The part of the emitter that listeners register with. */
   readonly event: EventSource<T> = (listener) => {
     this.#listeners.add(listener);
     return { dispose: () => this.#listeners.delete(listener) };
--- a/src/common/log_rate_limiter.ts
+++ b/src/common/log_rate_limiter.ts
@@ -1,63 +1,70 @@
 /**
- * How many log lines a process may write. Pattern of load: an outage makes
- * every call fail, each with several lines; written in full they cost more
- * processor time than the calls and hide the one line that names the cause.
- * Without a bound one would notice a log that grows with the trouble.
+ * Limits how many log lines a process writes. In an outage every call fails,
+ * each with several lines; writing all of them costs more processor time than
+ * the calls and hides the one line that names the cause. Without a limit the
+ * log grows with the failures.
  *
  * A token bucket: warnings and errors may use all of it, other lines only what
- * is above a reserve, so successes are left out first. What was left out is
- * counted and told once a second.
+ * exceeds a reserve, so that lines about successes are omitted first. Omitted
+ * lines are counted, and the count is reported once per second.
  */
 import type { MonotonicTime } from "./types.ts";
 
 /**
- * Lines a second and at once. A process at the peak of the sites serves some
- * 40 calls a second, with a line each and a second for each failure.
+ * Lines per second. At peak load a process serves about 40 calls per second,
+ * with one line each and a second one for each failure.
  */
 export const LINES_PER_SECOND = 200;
-const LARGEST_BURST = 400;
+/** Lines in one burst. */
+const MAXIMUM_BURST = 400;
 
-/** Part of the burst that only warnings and errors may use. */
-const RESERVE = 0.5;
+/** Share of the burst that is reserved for warnings and errors. */
+const RESERVED_SHARE = 0.5;
 
-const MILLISECONDS_A_SECOND = 1_000;
+const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Lets lines through, or counts them as left out. */
+/** Allows lines to be written, or counts them as omitted. */
 export class LogRateLimiter {
-  #left = LARGEST_BURST;
-  #filledAt: MonotonicTime | null = null;
-  #leftOut = 0;
-  #toldAt: MonotonicTime = Number.NEGATIVE_INFINITY;
+  #available = MAXIMUM_BURST;
+  #refilledAt: MonotonicTime | null = null;
+  #omitted = 0;
+  #reportedAt: MonotonicTime = Number.NEGATIVE_INFINITY;
 
-  /** Whether a line may be written now. */
+  /** Returns whether a line may be written now; counts it as omitted if not. */
   tryAcquire(isImportant: boolean, now: MonotonicTime): boolean {
-    const gap = now - (this.#filledAt ?? now);
-    this.#filledAt = now;
-    const filled =
-      this.#left + (gap * LINES_PER_SECOND) / MILLISECONDS_A_SECOND;
-    this.#left = Math.min(LARGEST_BURST, filled);
-    const kept = isImportant ? 0 : LARGEST_BURST * RESERVE;
-    if (this.#left - 1 < kept) {
-      this.#leftOut += 1;
+    const gap = now - (this.#refilledAt ?? now);
+    this.#refilledAt = now;
+    const refilled =
+      this.#available + (gap * LINES_PER_SECOND) / MILLISECONDS_PER_SECOND;
+    this.#available = Math.min(MAXIMUM_BURST, refilled);
+    const reserved = isImportant ? 0 : MAXIMUM_BURST * RESERVED_SHARE;
+    if (this.#available - 1 < reserved) {
+      this.#omitted += 1;
       return false;
     }
-    this.#left -= 1;
+    this.#available -= 1;
     return true;
   }
 
-  /** A line that was let through was lost on its way out. */
+  /** Counts an allowed line that was lost before it was written. */
   recordLostLine(): void {
-    this.#leftOut += 1;
+    this.#omitted += 1;
   }
 
-  /** Lines left out since the last call; 0 if there are none to tell now. */
+  /**
+   * Returns and resets the number of omitted lines; 0 if there are none, or if
+   * the last report was less than a second ago.
+   */
   takeOmittedCount(now: MonotonicTime): number {
-    if (this.#leftOut === 0 || now - this.#toldAt < MILLISECONDS_A_SECOND) {
+    if (
+      this.#omitted === 0 ||
+      now - this.#reportedAt < MILLISECONDS_PER_SECOND
+    ) {
       return 0;
     }
-    const leftOut = this.#leftOut;
-    this.#leftOut = 0;
-    this.#toldAt = now;
-    return leftOut;
+    const omitted = this.#omitted;
+    this.#omitted = 0;
+    this.#reportedAt = now;
+    return omitted;
   }
 }
--- a/src/common/pause_detector.ts
+++ b/src/common/pause_detector.ts
@@ -1,34 +1,35 @@
 /**
- * Tells a process's own pauses from the silence of others. A process that was
- * stopped, or starved of processor time, has heard nobody; taken for the
- * others' silence, that would have it refuse work that they could do.
+ * Distinguishes a process's own pauses from the silence of others. A process
+ * that was stopped, or starved of processor time, has received nothing; if it
+ * mistook that for the silence of others, it would refuse work that they could
+ * do.
  */
 import type { MonotonicTime } from "./types.ts";
 
-/** Watches the time between the ticks of one process. */
+/** Measures the time between the ticks of a process. */
 export class PauseDetector {
-  readonly #bound: number;
-  #tickedAt: MonotonicTime | null = null;
+  readonly #threshold: number;
+  #lastTickAt: MonotonicTime | null = null;
   #since: MonotonicTime = Number.NEGATIVE_INFINITY;
 
-  /** @param bound - milliseconds; a longer gap between two ticks is a pause */
-  constructor(bound: number) {
-    this.#bound = bound;
+  /** @param threshold - milliseconds; a longer gap between ticks is a pause */
+  constructor(threshold: number) {
+    this.#threshold = threshold;
   }
 
-  /** Called more often than the bound. */
+  /** Records a tick; must be called more often than the threshold. */
   tick(now: MonotonicTime): void {
     this.#since = this.runningSince(now);
-    this.#tickedAt = now;
+    this.#lastTickAt = now;
   }
 
   /**
-   * Since when the process runs without a pause, or as far as is known; the
-   * present time at the end of a pause, before the next tick.
+   * The time since which the process is known to have run without a pause.
+   * Between the end of a pause and the next tick this is `now`.
    */
   runningSince(now: MonotonicTime): MonotonicTime {
     const isPaused =
-      this.#tickedAt === null || now - this.#tickedAt > this.#bound;
+      this.#lastTickAt === null || now - this.#lastTickAt > this.#threshold;
     return isPaused ? now : this.#since;
   }
 }
