--- a/src/command_line/commands/apply.ts
+++ b/src/command_line/commands/apply.ts
@@ -109,13 +109,15 @@
    */
   async #createEdit(
     platform: IPlatform,
-    asked: Pick<IListEdit, "list" | "text" | "editedFrom">,
+    requested: Pick<IListEdit, "list" | "text" | "editedFrom">,
   ): Promise<IListEdit | null> {
     const name = createHash("sha256")
-      .update(JSON.stringify([asked.list, asked.editedFrom, asked.text]))
+      .update(
+        JSON.stringify([requested.list, requested.editedFrom, requested.text]),
+      )
       .digest("hex");
     if (!this.afterRestore) {
-      return { ...asked, name };
+      return { ...requested, name };
     }
     const statuses = await queryStatuses(platform);
     if (statuses.isErr()) {
@@ -125,11 +127,11 @@
     const versions = statuses.value.daemons.flatMap(
       ({ answer }) =>
         answer?.lists
-          .filter(({ list }) => list === asked.list)
+          .filter(({ list }) => list === requested.list)
           .map(({ version }) => version) ?? [],
     );
-    const highest = Math.max(asked.editedFrom, ...versions);
-    return { ...asked, name, restorations: restorationsOf(highest) + 1 };
+    const highest = Math.max(requested.editedFrom, ...versions);
+    return { ...requested, name, restorations: restorationsOf(highest) + 1 };
   }
 
   async #finish(
--- a/src/common/plans/findings_test.ts
+++ b/src/common/plans/findings_test.ts
@@ -78,7 +78,7 @@
   targets: 0ms
 `;
 
-function told(result: {
+function formatFindings(result: {
   isErr(): boolean;
   error?: readonly IFinding[];
 }): string {
@@ -89,21 +89,25 @@
 describe("findings", () => {
   for (const [name, text] of Object.entries(LISTS)) {
     it(`says what is wrong with a list: ${name}`, () => {
-      expect(told(checkCustomers("customers.yaml", text))).toMatchSnapshot();
+      expect(
+        formatFindings(checkCustomers("customers.yaml", text)),
+      ).toMatchSnapshot();
     });
   }
 
   it("reports everything wrong with plans together", () => {
-    expect(told(checkPlans("plans.yaml", PLANS))).toMatchSnapshot();
+    expect(formatFindings(checkPlans("plans.yaml", PLANS))).toMatchSnapshot();
   });
 
   it("reports everything wrong with settings together", () => {
-    expect(told(checkSettings("entry.yaml", SETTINGS))).toMatchSnapshot();
+    expect(
+      formatFindings(checkSettings("entry.yaml", SETTINGS)),
+    ).toMatchSnapshot();
   });
 
   it("counts findings past a bound instead of telling them", () => {
     const text = `customers:\n${"  - {}\n".repeat(1_000)}`;
-    const lines = told(checkCustomers("c.yaml", text)).split("\n");
+    const lines = formatFindings(checkCustomers("c.yaml", text)).split("\n");
     expect(lines).to.have.length(501);
     expect(lines.at(-1)).to.equal("c.yaml:1:1: and 2500 more findings");
   });
