--- a/src/adapters/callers/caller_answers.ts
+++ b/src/adapters/callers/caller_answers.ts
@@ -1,4 +1,4 @@
-/** Writes answers to callers: whole, or plainly not an answer. */
+/** Writes responses to callers: a complete answer or a clear failure. */
 import type { ServerResponse } from "node:http";
 import type {
   CallerAnswer,
@@ -32,15 +32,15 @@
   [Reason.CallerLeft]: 499,
 };
 
-/** How long a body that is too long is read and dropped, milliseconds. */
+/** How long the rest of an oversized body is discarded, milliseconds. */
 const LINGER_TIMEOUT = 2_000;
 
-/** How long a caller may take nothing of its stream, milliseconds. */
+/** How long a caller may read nothing from its stream, milliseconds. */
 const DRAIN_TIMEOUT = 30_000;
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Writes a refusal in its one documented shape; returns its outcome. */
+/** Writes a refusal in the documented format and returns its outcome. */
 export function sendRefusal(
   response: ServerResponse,
   requestId: string,
@@ -73,9 +73,9 @@
 }
 
 /**
- * Sends an answer while the caller still sends its body. Closing at once would
- * reset the connection under the unread bytes, and the caller would lose the
- * answer; so what it sends is dropped for a while before the close.
+ * Responds while the caller is still sending its body. Closing immediately
+ * would reset the connection because of the unread bytes, and the caller would
+ * lose the response. Incoming data is therefore discarded for a while first.
  */
 async function endAfterDiscardingBody(
   response: ServerResponse,
@@ -91,7 +91,7 @@
   response.end();
 }
 
-/** Writes an answer; returns the outcome as the caller sees it. */
+/** Writes an answer and returns the outcome that the caller sees. */
 export async function sendAnswer(
   response: ServerResponse,
   requestId: string,
@@ -114,7 +114,7 @@
   return Outcome.Completed;
 }
 
-/** Says of a repeated call that its recorded answer was too large to keep. */
+/** For a repeated call, describes an answer that was too large to store. */
 function omittedFields(omitted: OmittedAnswer | null | undefined): object {
   if (!omitted) {
     return {};
@@ -125,24 +125,25 @@
 
 /**
  * Streams tokens as server-sent events. Nothing is written before the first
- * token, so that an early failure is still an ordinary refusal; a later one
- * resets the connection, since a plain close would look like the whole answer.
+ * token, so an earlier failure is still sent as an ordinary refusal. A later
+ * failure resets the connection: a normal close would look like a complete
+ * answer.
  */
 async function sendStream(
   response: ServerResponse,
   requestId: string,
   answer: IStreamedAnswer,
 ): Promise<Outcome> {
-  let sent = 0;
+  let sentTokens = 0;
   for await (const batch of answer.tokens) {
     if (batch.isErr()) {
-      if (sent === 0) {
+      if (sentTokens === 0) {
         return sendRefusal(response, requestId, batch.error);
       }
       response.destroy();
       return batch.error.outcome;
     }
-    if (sent === 0) {
+    if (sentTokens === 0) {
       response.writeHead(STATUS_OK, { "content-type": "text/event-stream" });
     }
     let text = "";
@@ -153,12 +154,12 @@
       const event = token.isEnd ? "event: end\n" : "";
       text += `${event}id: ${token.sequence}\ndata: ${data}\n\n`;
     }
-    sent += batch.value.length;
-    const isWhole = batch.value.at(-1)?.isEnd === true;
-    if (!response.write(text) && !isWhole) {
+    sentTokens += batch.value.length;
+    const isComplete = batch.value.at(-1)?.isEnd === true;
+    if (!response.write(text) && !isComplete) {
       await waitForDrain(response);
     }
-    if (isWhole) {
+    if (isComplete) {
       response.end();
       return Outcome.Completed;
     }
@@ -173,19 +174,20 @@
 }
 
 /**
- * Waits for a slow caller, or for its connection to close. One that takes
- * nothing at all would hold its engine's slot for good, so it is cut off.
+ * Waits until a slow caller has drained the buffer or its connection closes. A
+ * caller that reads nothing would hold its engine slot forever, so it is
+ * disconnected after a timeout.
  */
 function waitForDrain(response: ServerResponse): Promise<void> {
   return new Promise((resolve) => {
     const timer = setTimeout(() => response.destroy(), DRAIN_TIMEOUT);
-    const done = () => {
+    const finish = () => {
       clearTimeout(timer);
-      response.off("drain", done);
-      response.off("close", done);
+      response.off("drain", finish);
+      response.off("close", finish);
       resolve();
     };
-    response.on("drain", done);
-    response.on("close", done);
+    response.on("drain", finish);
+    response.on("close", finish);
   });
 }
--- a/src/adapters/callers/caller_headers.ts
+++ b/src/adapters/callers/caller_headers.ts
@@ -1,9 +1,9 @@
-/** Checks the headers of a caller's request. */
+/** Validates the headers of a caller's request. */
 import type { IncomingMessage } from "node:http";
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 
-/** Headers that may come once only: two would contradict each other. */
+/** Headers allowed only once: duplicates could contradict each other. */
 const SINGLE_HEADERS: readonly string[] = [
   "authorization",
   "content-type",
@@ -11,27 +11,27 @@
   "x-request-id",
 ];
 
-/** Printable characters without spaces, so that a log line holds them. */
+/** Printable characters without spaces, which are safe in a log line. */
 const IDENTIFIER_PATTERN = /^[\x21-\x7e]{1,128}$/;
 
-/** Printable characters; bounded, since it names an object in the platform. */
+/** Printable characters; limited in length as it names a platform object. */
 const KEY_PATTERN = /^[\x20-\x7e]{1,200}$/;
 
 const JSON_TYPE = /^application\/json\s*(;|$)/i;
 
-/** What a caller says in headers, checked. */
+/** Validated values of the caller's headers. */
 export interface ICallerHeaders {
-  /** Null when the caller gives none. */
+  /** The idempotency key; null when absent. */
   readonly key: string | null;
 }
 
-/** The caller's name for its request; null when absent or not usable. */
+/** The caller's id for its request; null when absent or invalid. */
 export function callerRequestId(incoming: IncomingMessage): string | null {
   const id = readHeader(incoming, "x-request-id");
   return id !== null && IDENTIFIER_PATTERN.test(id) ? id : null;
 }
 
-/** The checked headers, or everything that is wrong with them. */
+/** Returns the validated headers, or all their errors. */
 export function checkHeaders(
   incoming: IncomingMessage,
 ): Result<ICallerHeaders, string> {
--- a/src/adapters/callers/client_errors.ts
+++ b/src/adapters/callers/client_errors.ts
@@ -1,4 +1,4 @@
-/** Answers what is no HTTP request, or comes too slowly, in the one shape. */
+/** Answers malformed or too slow HTTP requests in the documented format. */
 import type { Duplex } from "node:stream";
 import { Outcome, Reason } from "../../common/types.ts";
 
@@ -9,9 +9,9 @@
 const BAD_REQUEST = "400 Bad Request";
 
 /**
- * For the server's `clientError`: the request was not passed on to anyone.
+ * Handles the server's `clientError` event; the request was not dispatched.
  *
- * @param error - what the parser or the timeout reported
+ * @param error - the error of the parser or the timeout
  */
 export function answerBadRequest(error: Error, socket: Duplex): void {
   const code = "code" in error ? String(error.code) : "";
--- a/src/adapters/callers/http_caller_server.ts
+++ b/src/adapters/callers/http_caller_server.ts
@@ -1,4 +1,4 @@
-/** Callers' side: HTTP/1.1 with JSON bodies and server-sent events. */
+/** The server for callers: HTTP/1.1, JSON bodies and server-sent events. */
 import { createHash } from "node:crypto";
 import { createServer } from "node:http";
 import { createServer as createSecureServer } from "node:https";
@@ -34,31 +34,31 @@
 import { readBody } from "./read_body.ts";
 import { sendAnswer, sendRefusal } from "./caller_answers.ts";
 
-/** Bounds on what a caller may send, in bytes and milliseconds. */
+/** Limits on a caller's request, in bytes and milliseconds. */
 const MAXIMUM_HEADER_BYTES = 16_384;
 const MAXIMUM_BODY_BYTES = 1_000_000;
 const HEADERS_TIMEOUT = 5_000;
 const REQUEST_TIMEOUT = 15_000;
 
-/** How often slow senders are looked for; Node's own 30 s lets them pile up. */
+/** Milliseconds; at Node's default of 30 s, slow senders pile up. */
 const CONNECTION_CHECK_INTERVAL = 1_000;
 
-/** How long a closing server waits for the last bytes to leave. */
+/** How long `stop` waits for the last bytes to be sent, milliseconds. */
 const CLOSE_TIMEOUT = 2_000;
 
-/** When to come back while the plan lists are not known, milliseconds. */
+/** Retry delay while the plan lists are unknown, milliseconds. */
 const LISTS_RETRY_AFTER = 2_000;
 
-/** When to come back to another daemon, milliseconds. */
+/** Retry delay, at another daemon, during shutdown, milliseconds. */
 const SHUTDOWN_RETRY_AFTER = 500;
 
 const PATH_PATTERN = /^\/v1\/services\/([^/?]+)\/([^/?]+)$/;
 
-/** What the caller server needs. */
+/** The dependencies of the caller server. */
 export interface ICallerServerParts {
   readonly dispatcher: CallDispatcher;
-  readonly book: EffectivePlans;
-  /** Whether the plan lists may be acted by already. */
+  readonly plans: EffectivePlans;
+  /** Whether the plan lists are ready for use. */
   areListsReady(): boolean;
   readonly services: ReadonlyMap<ServiceName, IServiceDefinition>;
   readonly clock: IClock;
@@ -66,11 +66,11 @@
   readonly log: ILog;
   readonly metrics: IMetrics;
   readonly burn: BurnRecorder;
-  /** Files for TLS; null to listen without. */
+  /** Certificate files for TLS; null to listen without TLS. */
   readonly certificate: ICertificateFiles | null;
 }
 
-/** Accepts callers' requests and writes their answers. */
+/** Accepts requests from callers and writes the responses. */
 export class HttpCallerServer {
   readonly #parts: ICallerServerParts;
   readonly #server: Server | SecureServer;
@@ -105,17 +105,18 @@
     );
   }
 
-  /** Listens on `host:port` and returns the address taken. */
+  /** Listens on `host:port` and returns the bound address. */
   listen(address: string): Promise<string> {
     return listenOn(this.#server, address);
   }
 
   /**
-   * Lets everything in flight finish, then closes. Until then new connections
-   * are still taken, and told to ask elsewhere: a balancer that has not
-   * noticed yet would otherwise meet a closed port. Connections that look idle
-   * stay open as well: a request may be on its way on one, and closing would
-   * reset it, so that its caller could not know whether it has run.
+   * Lets all requests in flight finish, then closes. Until then, requests on
+   * new connections are still answered, with a refusal that sends them to
+   * another daemon: a load balancer that has not noticed the shutdown yet would
+   * otherwise find a closed port. Idle connections stay open as well: a request
+   * may already be on its way, and closing would reset it, so its caller could
+   * not know whether it ran.
    */
   async stop(): Promise<void> {
     this.#isStopping = true;
@@ -156,7 +157,7 @@
     }
   }
 
-  /** An answer is with the network, whole, or its connection is gone. */
+  /** Called when a response is fully sent or its connection is closed. */
   #onResponseClosed(): void {
     this.#openResponses -= 1;
     if (this.#openResponses === 0) {
@@ -184,18 +185,18 @@
     requestId: string,
   ): Promise<void> {
     const started = this.#parts.clock.now();
-    const leaving = new AbortController();
-    // An answered caller has not left; aborting would only cost the making of
-    // an error on each request.
+    const callerLeft = new AbortController();
+    // "close" also follows a complete response. Aborting then would only create
+    // an unneeded error on each request.
     response.on("close", () => {
       if (!response.writableFinished) {
-        leaving.abort();
+        callerLeft.abort();
       }
     });
     const request = await this.#readRequest(
       incoming,
       requestId,
-      leaving.signal,
+      callerLeft.signal,
     );
     const served = request.isOk()
       ? this.#parts.burn.observeRequest(request.value)
@@ -227,13 +228,13 @@
     });
   }
 
-  /** Finds who asks, for what, and reads the body. */
+  /** Identifies the account and the operation, and reads the body. */
   async #readRequest(
     incoming: IncomingMessage,
     requestId: string,
     signal: AbortSignal,
   ): Promise<Result<ICallerRequest, IRefusal>> {
-    const { book, clock, services } = this.#parts;
+    const { plans, clock, services } = this.#parts;
     if (this.#isStopping) {
       const detail = "this daemon is shutting down";
       return Err(notRun(Reason.ShuttingDown, detail, SHUTDOWN_RETRY_AFTER));
@@ -242,7 +243,9 @@
       const detail = "the plan lists are not known here yet";
       return Err(notRun(Reason.PlanListsUnknown, detail, LISTS_RETRY_AFTER));
     }
-    const account = book.findByCredential(sha256Hex(readBearerToken(incoming)));
+    const account = plans.findByCredential(
+      sha256Hex(readBearerToken(incoming)),
+    );
     if (account === null) {
       return Err(notRun(Reason.UnknownCaller, "the credential is not known"));
     }
@@ -288,7 +291,7 @@
   return scheme?.toLowerCase() === "bearer" ? (credential ?? "") : "";
 }
 
-/** SHA-256 as lower-case hexadecimal. */
+/** The SHA-256 digest as lower-case hexadecimal. */
 export function sha256Hex(text: string): string {
   return createHash("sha256").update(text).digest("hex");
 }
--- a/src/adapters/callers/read_body.ts
+++ b/src/adapters/callers/read_body.ts
@@ -1,26 +1,25 @@
-/** Reads a bounded JSON body. */
+/** Reads a JSON body of limited size. */
 import type { IncomingMessage } from "node:http";
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 
-/** A body as text and as what it says. */
+/** A body as text and as parsed JSON. */
 export interface IBody {
   readonly text: string;
   readonly content: unknown;
 }
 
-/** What is wrong with a body. */
+/** Why a body was rejected. */
 export interface IBodyError {
   readonly detail: string;
   readonly isTooLong: boolean;
 }
 
 /**
- * Reads a body; one that is too long is left unread from there on, with its
- * connection open, so that the caller can still be told.
+ * Reads and parses a body. Reading stops at the limit, but the connection stays
+ * open so that the caller can still receive the refusal.
  *
  * @param maximumBytes - a longer body is refused
- * @returns the body, or what is wrong with it
  */
 export async function readBody(
   incoming: IncomingMessage,
--- a/src/adapters/clock/system_clock.ts
+++ b/src/adapters/clock/system_clock.ts
@@ -1,9 +1,9 @@
-/** Time and timers of the running process. */
+/** Time and timers of the host. */
 import { performance } from "node:perf_hooks";
 import type { IDisposable } from "../../common/disposable.ts";
 import type { IClock } from "../../common/services/services.ts";
 
-/** The host's monotonic and calendar clocks. */
+/** The host's monotonic clock, wall clock and timers. */
 export class SystemClock implements IClock {
   now(): number {
     return performance.now();
--- a/src/adapters/exchange/holder_link.ts
+++ b/src/adapters/exchange/holder_link.ts
@@ -1,4 +1,4 @@
-/** Asks the lease holder over HTTP. */
+/** The HTTP client for exchanges with the lease holder. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { Agent, request } from "undici";
@@ -13,11 +13,12 @@
 import { withTimeLimit } from "../time_limit.ts";
 import { EXCHANGE_PATH } from "./inner_server.ts";
 
+/** Milliseconds. */
 const CONNECT_TIMEOUT = 500;
 const STATUS_OK = 200;
 const STATUS_NOT_HOLDER = 409;
 
-/** One connection to whichever process holds the lease. */
+/** Sends process reports to the process that holds the lease. */
 export class HolderLink implements IHolderLink {
   readonly #agent = new Agent({ connect: { timeout: CONNECT_TIMEOUT } });
 
@@ -42,8 +43,8 @@
         const detail = `${attempted}: answered ${status}`;
         return Err({ kind: CallFailureKind.Refused, detail });
       }
-      // Both ends are of one build; only the words of the sender are checked,
-      // since the inner port is open to other programs.
+      // Both ends run the same build, so the reply is not validated. The server
+      // validates reports, since other programs can reach the inner port.
       return Ok(JSON.parse(text) as ExchangeAnswer);
     } catch (error) {
       return Err(callFailureOf(attempted, error));
--- a/src/adapters/exchange/inner_server.ts
+++ b/src/adapters/exchange/inner_server.ts
@@ -1,4 +1,4 @@
-/** What other processes and collectors ask of this one, on its inner port. */
+/** Serves other processes and metrics collectors on the inner port. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { z } from "zod";
@@ -8,11 +8,11 @@
 } from "../../common/replicas/exchange.ts";
 import { listenOn } from "../listen.ts";
 
-/** Where processes tell the lease holder what they have in flight. */
+/** Where processes report their requests in flight to the lease holder. */
 export const EXCHANGE_PATH = "/exchange";
 const METRICS_PATH = "/metrics";
 
-/** A word of one process is some kilobytes; more is not one. */
+/** Characters; a report of a process takes only a few kilobytes. */
 const MAXIMUM_REPORT_LENGTH = 262_144;
 
 const STATUS_OK = 200;
@@ -34,19 +34,19 @@
   ),
   tableVersion: z.number(),
   suspects: z.array(z.string()),
-  // A process of an older build names none, while each is replaced in turn.
+  // Older builds send none; they may run alongside during a rolling update.
   versions: z
     .object({ configuration: z.number(), targets: z.number() })
     .default({ configuration: 0, targets: 0 }),
 });
 
-/** What the server answers with. */
+/** Answers the requests of the inner server. */
 export interface IInnerServerHandler {
   exchange(word: IProcessReport): Promise<ExchangeAnswer>;
   metrics(): Promise<string>;
 }
 
-/** HTTP on the inner port. */
+/** The HTTP server on the inner port. */
 export class InnerServer {
   readonly #handler: IInnerServerHandler;
   readonly #server: Server;
@@ -86,12 +86,12 @@
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
-    const word = await readReport(request);
-    if (word === null) {
+    const report = await readReport(request);
+    if (report === null) {
       response.writeHead(STATUS_BAD_REQUEST).end();
       return;
     }
-    const answer = await this.#handler.exchange(word);
+    const answer = await this.#handler.exchange(report);
     const status = answer.isHolder ? STATUS_OK : STATUS_NOT_HOLDER;
     response.writeHead(status, { "content-type": "application/json" });
     response.end(JSON.stringify(answer));
@@ -111,7 +111,7 @@
     }
     return processReportSchema.parse(JSON.parse(text));
   } catch {
-    // The sender is told by the status, and logs it.
+    // The sender receives status 400 and logs it.
     return null;
   }
 }
--- a/src/adapters/hash/xxhash_hash.ts
+++ b/src/adapters/hash/xxhash_hash.ts
@@ -1,8 +1,8 @@
-/** The xxHash32 function, by its WebAssembly library. */
+/** The xxHash32 function, from a WebAssembly library. */
 import xxhash from "xxhash-wasm";
 import type { IHash } from "../../common/services/services.ts";
 
-/** Hashes text alike on every machine. */
+/** Hashes text; the result is the same on every machine. */
 export class XxhashHash implements IHash {
   readonly #hash: (text: string) => number;
 
@@ -10,7 +10,7 @@
     this.#hash = hash;
   }
 
-  /** Loads the module, which is compiled once a process. */
+  /** Loads the WebAssembly module, which is compiled once per process. */
   static async create(): Promise<XxhashHash> {
     const { h32 } = await xxhash();
     return new XxhashHash((text) => h32(text));
--- a/src/adapters/http_failure.ts
+++ b/src/adapters/http_failure.ts
@@ -1,8 +1,8 @@
-/** Tells from a failed HTTP call whether the other side can have acted. */
+/** Classifies failed HTTP calls by whether the other side may have acted. */
 import { CallFailureKind } from "../common/types.ts";
 import type { ICallFailure } from "../common/types.ts";
 
-/** Errors that come before a byte of the request is written. */
+/** Errors that occur before any byte of the request is written. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
@@ -11,8 +11,8 @@
 ]);
 
 /**
- * @param attempted - what was tried, on what
- * @param error - what the HTTP library threw
+ * @param attempted - the operation and its address, for the failure's detail
+ * @param error - the error thrown by the HTTP library
  */
 export function callFailureOf(attempted: string, error: unknown): ICallFailure {
   const code = codeOf(error);
@@ -23,14 +23,14 @@
   return { kind, detail: `${attempted}: ${code} ${message}` };
 }
 
-/** Errors by which a connection was silent for longer than it may be. */
+/** Errors of open connections that stayed silent for too long. */
 const RESPONSE_TIMEOUT_CODES: ReadonlySet<string> = new Set([
   "UND_ERR_HEADERS_TIMEOUT",
   "UND_ERR_BODY_TIMEOUT",
   "TIME_LIMIT",
 ]);
 
-/** Whether a call failed by silence on a connection that seemed open. */
+/** Whether a call timed out on a connection that seemed open. */
 export function isResponseTimeout(error: unknown): boolean {
   return RESPONSE_TIMEOUT_CODES.has(codeOf(error));
 }
--- a/src/adapters/log/bounded_log.ts
+++ b/src/adapters/log/bounded_log.ts
@@ -1,7 +1,7 @@
 /**
- * Log lines as key=value pairs on standard output, for processes whose log
- * nobody may be reading: the volume is bounded, and a reader that stops costs
- * lines, never a wait.
+ * Writes log lines as key=value pairs to standard output, for processes whose
+ * log may have no reader. The volume is limited, and if the reader stops, lines
+ * are dropped instead of blocking the process.
  */
 import { once } from "node:events";
 import logfmt from "logfmt";
@@ -13,26 +13,26 @@
   LogFields,
 } from "../../common/services/services.ts";
 
-/** Bytes that wait for a reader; further lines are dropped and counted. */
+/** Lines beyond this backlog are dropped and counted. */
 const MAXIMUM_BACKLOG_BYTES = 1_048_576;
 
-/** How long the last lines are waited for at the end, milliseconds. */
+/** How long the final flush may take, milliseconds. */
 const FLUSH_TIMEOUT = 200;
 
 const STANDARD_OUTPUT = 1;
 
-/** The severities that are written. */
+/** Severity of a log line. */
 enum Severity {
   Info = "info",
   Warn = "warn",
   Error = "error",
 }
 
-/** Writes through pino's destination, which never blocks on its reader. */
+/** Writes through pino's asynchronous destination, which never blocks. */
 export class BoundedLog implements ILog {
   readonly #clock: IClock;
   readonly #base: LogFields;
-  readonly #budget = new LogRateLimiter();
+  readonly #rateLimiter = new LogRateLimiter();
   readonly #out = destination({
     dest: STANDARD_OUTPUT,
     sync: false,
@@ -43,9 +43,9 @@
   constructor(clock: IClock, base: LogFields) {
     this.#clock = clock;
     this.#base = base;
-    this.#out.on("drop", () => this.#budget.recordLostLine());
-    // The reader has gone: there is nobody to tell, and calls go on.
-    this.#out.on("error", () => this.#budget.recordLostLine());
+    this.#out.on("drop", () => this.#rateLimiter.recordLostLine());
+    // The reader is gone, so the error cannot be logged; calls continue.
+    this.#out.on("error", () => this.#rateLimiter.recordLostLine());
   }
 
   info(event: string, fields: LogFields = {}): void {
@@ -60,7 +60,7 @@
     this.#write(Severity.Error, event, fields);
   }
 
-  /** Waits a moment for the last lines, not for a reader that has stopped. */
+  /** Flushes the last lines, with a timeout in case the reader has stopped. */
   async [Symbol.asyncDispose](): Promise<void> {
     const flushed = new Promise<void>((resolve) => {
       this.#out.flush(() => resolve());
@@ -74,10 +74,10 @@
 
   #write(severity: Severity, event: string, fields: LogFields): void {
     const now = this.#clock.now();
-    if (this.#budget.tryAcquire(severity !== Severity.Info, now)) {
+    if (this.#rateLimiter.tryAcquire(severity !== Severity.Info, now)) {
       this.#writeLine(severity, event, fields);
     }
-    const count = this.#budget.takeOmittedCount(now);
+    const count = this.#rateLimiter.takeOmittedCount(now);
     if (count > 0) {
       this.#writeLine(Severity.Warn, "log_lines_left_out", { count });
     }
--- a/src/adapters/log/log_lines.ts
+++ b/src/adapters/log/log_lines.ts
@@ -1,15 +1,15 @@
-/** Reads log lines back as fields. */
+/** Parses log lines into fields. */
 import logfmt from "logfmt";
 import type { ILogLine } from "../../common/reports/request_timeline.ts";
 
-/** What was read of a text. */
+/** The result of parsing a text. */
 export interface IParsedLogLines {
   readonly lines: readonly ILogLine[];
-  /** Lines without a time or an event: not of these logs. */
+  /** Number of other lines, without a time or an event. */
   readonly skipped: number;
 }
 
-/** Reads key=value lines; what a collector put before the time is ignored. */
+/** Parses key=value lines, without any prefix that a collector has added. */
 export function parseLogLines(text: string): IParsedLogLines {
   const lines: ILogLine[] = [];
   let skipped = 0;
--- a/src/adapters/log/logfmt.d.ts
+++ b/src/adapters/log/logfmt.d.ts
@@ -1,9 +1,9 @@
-/** The part of the logfmt library that is used; it brings no types. */
+/** Types for the used part of the logfmt library, which has none. */
 declare module "logfmt" {
   const logfmt: {
-    /** One line of key=value pairs, quoted where needed. */
+    /** Formats one line of key=value pairs, quoted where needed. */
     stringify(fields: Readonly<Record<string, unknown>>): string;
-    /** The fields of one line; a key without a value is true. */
+    /** Parses one line; a key without a value is true. */
     parse(line: string): Readonly<Record<string, string | boolean | null>>;
   };
   export default logfmt;
--- a/src/adapters/log/logfmt_log.ts
+++ b/src/adapters/log/logfmt_log.ts
@@ -1,4 +1,4 @@
-/** Log lines as key=value pairs on standard output, one event a line. */
+/** Writes log lines as key=value pairs to standard output, one per event. */
 import { once } from "node:events";
 import type { Writable } from "node:stream";
 import { pino } from "pino";
@@ -6,14 +6,14 @@
 import * as pinoLogfmt from "pino-logfmt";
 import type { ILog, LogFields } from "../../common/services/services.ts";
 
-/** The transport's default export, which its typings leave out. */
+/** The transport's default export, which its type definitions lack. */
 const createTransport = (
   pinoLogfmt as unknown as {
     default: (options: object) => Promise<Writable>;
   }
 ).default;
 
-/** Writes through pino and its logfmt transport, in this process. */
+/** Writes through pino and its logfmt transport, within this process. */
 export class LogfmtLog implements ILog {
   readonly #logger: Logger;
   readonly #stream: Writable;
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Writes out what is still on its way through the transport. A process that
-   * exits without this loses its last lines, "stopped" among them.
+   * Flushes the transport. A process that exits without this loses its last
+   * lines, including "stopped".
    */
   async [Symbol.asyncDispose](): Promise<void> {
     const closed = once(this.#stream, "close");
--- a/src/adapters/metrics/help_texts.ts
+++ b/src/adapters/metrics/help_texts.ts
@@ -1,4 +1,4 @@
-/** What each metric says, by its name without the prefix. */
+/** Help texts of the metrics, by name without the prefix. */
 export const HELP_TEXTS: Readonly<Record<string, string>> = {
   alarm: "1 while the alarm is raised",
   engine_reports_missed: "reports that an engine left unanswered",
--- a/src/adapters/metrics/prometheus_metrics.ts
+++ b/src/adapters/metrics/prometheus_metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and latencies in the usual text exposition form. */
+/** Counters, gauges and latencies in the Prometheus text format. */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import { Counter, Gauge, Registry } from "prom-client";
@@ -10,13 +10,13 @@
 const PREFIX = "cranberryledge_";
 const NO_LABELS: Labels = {};
 
-/** Largest duration that is told apart, milliseconds: ten minutes. */
+/** Longer durations are recorded as this, milliseconds: ten minutes. */
 const LARGEST_DURATION = 600_000;
 
-/** Quantiles shown for each latency. */
+/** Percentiles exposed for each latency. */
 const QUANTILES: readonly number[] = [50, 95, 99];
 
-/** Counts by prom-client, latencies by HDR histograms. */
+/** Uses prom-client for counters and gauges, HDR histograms for latencies. */
 export class PrometheusMetrics implements IMetrics {
   readonly #registry = new Registry();
   readonly #counters = new Map<string, Counter>();
@@ -55,7 +55,7 @@
     this.#gaugeNamed(name, options).set(labels, value);
   }
 
-  /** Everything so far, as text for a collector. */
+  /** Returns all metrics as text for a collector. */
   async expose(): Promise<string> {
     for (const [name, series] of this.#histograms) {
       for (const [key, histogram] of series) {
--- a/src/adapters/peers/forward_handlers.ts
+++ b/src/adapters/peers/forward_handlers.ts
@@ -1,4 +1,4 @@
-/** The listening side of requests handed over by daemons of other zones. */
+/** The server side of requests forwarded by daemons of other zones. */
 import type { ServerWritableStream } from "@grpc/grpc-js";
 import { once } from "node:events";
 import type {
@@ -11,35 +11,35 @@
 
 type ForwardCall = ServerWritableStream<ForwardRequest__Output, ForwardReply>;
 
-/** Answers a request handed over. */
+/** Answers a forwarded request. */
 export type ForwardRequestHandler = (
   request: IForwardedRequest,
   signal: AbortSignal,
 ) => AsyncIterable<TokenBatch>;
 
-/** Handlers for a gRPC server. */
+/** Creates the handlers for a gRPC server. */
 export function createForwardHandlers(
-  answer: ForwardRequestHandler,
+  handleRequest: ForwardRequestHandler,
 ): ForwardHandlers {
-  return { Generate: (call) => void serve(call, answer) };
+  return { Generate: (call) => void serve(call, handleRequest) };
 }
 
 async function serve(
   call: ForwardCall,
-  answer: ForwardRequestHandler,
+  handleRequest: ForwardRequestHandler,
 ): Promise<void> {
-  const leaving = new AbortController();
-  call.on("cancelled", () => leaving.abort());
+  const cancellation = new AbortController();
+  call.on("cancelled", () => cancellation.abort());
   try {
     const { body, ...fields } = call.request;
     const request = { ...fields, body: JSON.parse(body) as unknown };
-    for await (const batch of answer(request, leaving.signal)) {
+    for await (const batch of handleRequest(request, cancellation.signal)) {
       const hasRoom = call.write(writeBatch(batch));
-      if (leaving.signal.aborted) {
+      if (cancellation.signal.aborted) {
         return;
       }
       if (!hasRoom) {
-        await once(call, "drain", { signal: leaving.signal });
+        await once(call, "drain", { signal: cancellation.signal });
       }
     }
     call.end();
--- a/src/adapters/peers/grpc_forwarder.ts
+++ b/src/adapters/peers/grpc_forwarder.ts
@@ -1,4 +1,4 @@
-/** Hands requests to daemons of other zones over gRPC. */
+/** Forwards requests to daemons of other zones over gRPC. */
 import { Err, Ok } from "ts-results-es";
 import type { ClientReadableStream } from "@grpc/grpc-js";
 import type {
@@ -15,10 +15,10 @@
 import type { IPeerCredentials } from "../tls/peer_credentials.ts";
 import { forwardApi } from "./forward_api.ts";
 
-/** When to come back after a peer was lost, milliseconds. */
+/** Retry delay after losing a peer, milliseconds. */
 const LOST_RETRY_AFTER = 2_000;
 
-/** Heartbeats find a connection that goes silent while a stream is open. */
+/** Keepalives detect a connection that goes silent during a stream. */
 const CHANNEL_OPTIONS = {
   "grpc.use_local_subchannel_pool": 1,
   "grpc.keepalive_time_ms": 2_000,
@@ -28,8 +28,9 @@
 };
 
 /**
- * Keeps one client for each peer address; a client whose stream fails is
- * dropped with its connection, since a new one may work where it never will.
+ * Keeps one client per peer address. A client whose stream fails is dropped
+ * together with its connection, since a new connection may work where the old
+ * one never will.
  */
 export class GrpcForwarder implements IForwarder {
   readonly #clients = new Map<string, ForwardClient>();
@@ -71,8 +72,8 @@
     let client = this.#clients.get(address);
     if (client === undefined) {
       const { Forward } = forwardApi.cranberryledge;
-      const secrets = this.#credentials.forChannel();
-      client = new Forward(address, secrets, CHANNEL_OPTIONS);
+      const channelCredentials = this.#credentials.forChannel();
+      client = new Forward(address, channelCredentials, CHANNEL_OPTIONS);
       this.#clients.set(address, client);
     }
     return client;
@@ -99,12 +100,12 @@
   }
 }
 
-/** An outcome or reason that is not known is taken for the unsure one. */
+/** Maps an unknown outcome or reason to the one that leaves it in doubt. */
 function readRefusal(refusal: ForwardRefusal__Output): IRefusal {
   const { detail, outcome, retryAfter } = refusal;
   const reasons = Object.values(Reason);
   const reason =
     reasons.find((known) => known === refusal.reason) ?? Reason.TargetLost;
-  const say = outcome === Outcome.NotRun ? notRun : outcomeUnknown;
-  return say(reason, detail, retryAfter);
+  const createRefusal = outcome === Outcome.NotRun ? notRun : outcomeUnknown;
+  return createRefusal(reason, detail, retryAfter);
 }
--- a/src/adapters/peers/grpc_peer_server.ts
+++ b/src/adapters/peers/grpc_peer_server.ts
@@ -1,4 +1,4 @@
-/** The listening side of calls between daemons. */
+/** The server side of calls between daemons. */
 import { Server, status } from "@grpc/grpc-js";
 import type { sendUnaryData } from "@grpc/grpc-js";
 import type { IPeerRequestHandler } from "../../common/membership/peers.ts";
@@ -21,13 +21,13 @@
   writeListVersions,
 } from "./peer_messages.ts";
 
-/** How a peer server is secured, and who runs what peers hand over. */
+/** The credentials of a peer server, and the handler of forwarded requests. */
 export interface IPeerServerOptions {
   readonly credentials: IPeerCredentials;
   readonly onForwardedRequest: ForwardRequestHandler;
 }
 
-/** Answers peers. */
+/** Answers calls of peers. */
 export class GrpcPeerServer {
   readonly #server = new Server();
   readonly #handler: IPeerRequestHandler;
@@ -46,11 +46,11 @@
     });
   }
 
-  /** Listens and returns the port taken. */
+  /** Listens and returns the bound port. */
   listen(address: string): Promise<number> {
     return new Promise((resolve, reject) => {
-      const secrets = this.#credentials.forServer();
-      this.#server.bindAsync(address, secrets, (error, port) => {
+      const serverCredentials = this.#credentials.forServer();
+      this.#server.bindAsync(address, serverCredentials, (error, port) => {
         if (error) {
           reject(error);
         } else {
@@ -65,21 +65,21 @@
   }
 
   #handlers(): PeerHandlers {
-    const answers = this.#handler;
+    const handler = this.#handler;
     return {
       Probe: (call, reply) =>
         void sendReply(reply, () => this.#probe(call.request)),
       Synchronize: (_, reply) =>
         void sendReply(reply, () => ({
-          view: answers.view().map(writeMemberUpdate),
+          view: handler.view().map(writeMemberUpdate),
         })),
       PullDigests: (call, reply) =>
         void sendReply(reply, () => ({
-          rows: answers.digests(call.request.held).map(writeDigestRow),
+          rows: handler.digests(call.request.held).map(writeDigestRow),
         })),
       PullZones: (call, reply) =>
         void sendReply(reply, () => {
-          const { zones, versions } = answers.zones(
+          const { zones, versions } = handler.zones(
             readZonesRequest(call.request),
           );
           return {
@@ -90,7 +90,7 @@
       FetchList: (call, reply) =>
         void sendReply(reply, () => {
           const { list } = call.request;
-          const text = answers.listText(list as PlanListName);
+          const text = handler.listText(list as PlanListName);
           return text ?? { list, version: 0, text: "" };
         }),
     };
@@ -111,15 +111,15 @@
 }
 
 /**
- * Sends what the function makes, or its error. A message that lacks a part
- * must fail its own call; thrown further it would end the process.
+ * Sends the function's result or its error. A message with a missing part must
+ * only fail its own call; an uncaught error would end the process.
  */
 async function sendReply<T>(
   reply: sendUnaryData<T>,
-  make: () => T | Promise<T>,
+  createReply: () => T | Promise<T>,
 ): Promise<void> {
   try {
-    reply(null, await make());
+    reply(null, await createReply());
   } catch (error) {
     reply({ code: status.UNAVAILABLE, details: String(error) });
   }
--- a/src/adapters/peers/grpc_peers.ts
+++ b/src/adapters/peers/grpc_peers.ts
@@ -32,16 +32,16 @@
   writeListVersions,
 } from "./peer_messages.ts";
 
-/** How long a peer may take to answer, milliseconds. */
+/** Maximum time of a call, milliseconds. */
 const CALL_TIMEOUT = 1_000;
 
-/** How long a client that is not used is kept, milliseconds. */
+/** How long an unused client is kept, milliseconds. */
 const CLIENT_IDLE_TIMEOUT = 60_000;
 
 /**
- * A pool of connections for each client: gRPC otherwise shares one among all
- * clients of an address, and a new client would be given the connection that
- * has gone silent. Heartbeats find those that go silent between calls.
+ * Gives each client its own connections: by default, gRPC shares them among all
+ * clients of an address, and a new client would reuse a connection that has
+ * gone silent. Keepalives detect connections that go silent between calls.
  */
 const CHANNEL_OPTIONS = {
   "grpc.use_local_subchannel_pool": 1,
@@ -51,7 +51,7 @@
   "grpc.enable_retries": 0,
 };
 
-type Reply<T> = (error: ServiceError | null, answer?: T) => void;
+type ReplyCallback<T> = (error: ServiceError | null, answer?: T) => void;
 
 interface IClientEntry {
   readonly client: PeerClient;
@@ -59,9 +59,9 @@
 }
 
 /**
- * Keeps one client for each peer address. A client whose call fails is dropped
- * with its connection: something between the two ends may have lost track of
- * it, and then a new connection works at once where the old one never will.
+ * Keeps one client per peer address. A client whose call fails is dropped
+ * together with its connection: the network may have lost the connection's
+ * state, in which case only a new connection works.
  */
 export class GrpcPeers implements IPeers {
   readonly #clients = new Map<string, IClientEntry>();
@@ -125,10 +125,10 @@
 
   async pullZones(
     address: string,
-    question: IZonesRequest,
+    zonesRequest: IZonesRequest,
   ): Promise<Result<IZonesResponse, ICallFailure>> {
-    const versions = writeListVersions(question.versions);
-    const request = { from: { ...question.from }, versions };
+    const versions = writeListVersions(zonesRequest.versions);
+    const request = { from: { ...zonesRequest.from }, versions };
     return this.#call(
       address,
       CALL_TIMEOUT,
@@ -167,7 +167,7 @@
     send: (
       client: PeerClient,
       options: { readonly deadline: number },
-      reply: Reply<Answer>,
+      reply: ReplyCallback<Answer>,
     ) => ClientUnaryCall,
     read: (answer: Answer) => Value,
   ): Promise<Result<Value, ICallFailure>> {
@@ -177,28 +177,28 @@
       send(client, options, (error, answer) => {
         if (error !== null || answer === undefined) {
           this.#drop(address, client);
-          resolve(Err(failure(address, error)));
+          resolve(Err(peerFailure(address, error)));
           return;
         }
         try {
           resolve(Ok(read(answer)));
-        } catch (fault) {
-          resolve(Err(failure(address, fault)));
+        } catch (parseError) {
+          resolve(Err(peerFailure(address, parseError)));
         }
       });
     });
   }
 
   #client(address: string): PeerClient {
-    const kept = this.#clients.get(address);
-    if (kept !== undefined) {
-      kept.usedAt = Date.now();
-      return kept.client;
+    const entry = this.#clients.get(address);
+    if (entry !== undefined) {
+      entry.usedAt = Date.now();
+      return entry.client;
     }
     this.#dropUnused();
-    const secrets = this.#credentials.forChannel();
+    const channelCredentials = this.#credentials.forChannel();
     const { Peer } = peerApi.cranberryledge;
-    const client = new Peer(address, secrets, CHANNEL_OPTIONS);
+    const client = new Peer(address, channelCredentials, CHANNEL_OPTIONS);
     this.#clients.set(address, { client, usedAt: Date.now() });
     return client;
   }
@@ -211,16 +211,16 @@
   }
 
   #dropUnused(): void {
-    const before = Date.now() - CLIENT_IDLE_TIMEOUT;
+    const oldestUse = Date.now() - CLIENT_IDLE_TIMEOUT;
     for (const [address, { client, usedAt }] of this.#clients) {
-      if (usedAt < before) {
+      if (usedAt < oldestUse) {
         this.#drop(address, client);
       }
     }
   }
 }
 
-function failure(address: string, error: unknown): ICallFailure {
+function peerFailure(address: string, error: unknown): ICallFailure {
   const detail = `peer ${address}: ${String(error)}`;
   return { kind: CallFailureKind.Unknown, detail };
 }
--- a/src/adapters/peers/peer_messages.ts
+++ b/src/adapters/peers/peer_messages.ts
@@ -1,4 +1,4 @@
-/** Between the messages of the protocol and the program's own types. */
+/** Converts between protocol messages and internal types. */
 import type {
   IDigestRow,
   TargetIdentity,
@@ -39,7 +39,7 @@
   LEFT: MemberState.Left,
 } as const;
 
-/** Throws on a message without its parts; the call then fails. */
+/** Throws if a part of a message is missing, which fails the call. */
 function required<T>(value: T | null | undefined): T {
   if (value === null || value === undefined) {
     throw new Error("a peer's message lacks a part");
@@ -47,16 +47,16 @@
   return value;
 }
 
-export function writeMemberUpdate(news: IMemberUpdate) {
-  const { member, incarnation, state } = news;
+export function writeMemberUpdate(update: IMemberUpdate) {
+  const { member, incarnation, state } = update;
   return { member: { ...member }, incarnation, state: STATE_NAMES[state] };
 }
 
-export function readMemberUpdate(news: MemberNews__Output): IMemberUpdate {
+export function readMemberUpdate(update: MemberNews__Output): IMemberUpdate {
   return {
-    member: readMember(required(news.member)),
-    incarnation: news.incarnation,
-    state: STATES_BY_NAME[news.state],
+    member: readMember(required(update.member)),
+    incarnation: update.incarnation,
+    state: STATES_BY_NAME[update.state],
   };
 }
 
@@ -115,7 +115,7 @@
   };
 }
 
-/** A part that is empty was left out. */
+/** An empty part was omitted by the sender, and is null. */
 export function readDigestRow(row: DigestRow__Output): IDigestRow {
   const { poller, identityVersion, loadVersion, age } = row;
   const identities =
@@ -157,8 +157,8 @@
 }
 
 export function readZonesRequest(
-  question: PullZonesRequest__Output,
+  request: PullZonesRequest__Output,
 ): IZonesRequest {
-  const from = readMember(required(question.from));
-  return { from, versions: readListVersions(question.versions) };
+  const from = readMember(required(request.from));
+  return { from, versions: readListVersions(request.versions) };
 }
--- a/src/adapters/platform/http_platform.ts
+++ b/src/adapters/platform/http_platform.ts
@@ -1,4 +1,4 @@
-/** The platform's object API over HTTP. Replace this folder for another form. */
+/** The platform's object API over HTTP. Replace this folder for another API. */
 import type { IncomingHttpHeaders } from "node:http";
 import { Err, None, Ok, Some } from "ts-results-es";
 import type { Option, Result } from "ts-results-es";
@@ -19,11 +19,12 @@
 import { InstanceListCache } from "./instance_list_cache.ts";
 import type { ITaggedAnswer } from "./instance_list_cache.ts";
 
-/** The platform answers in milliseconds; a longer silence is a failure. */
+/** Milliseconds. The platform usually answers within a few of them. */
 const CALL_TIMEOUT = 2_000;
+/** Milliseconds. */
 const CONNECT_TIMEOUT = 1_000;
 
-/** Beyond the time a watch asks to wait, milliseconds. */
+/** Added to the requested wait of a watch, milliseconds. */
 const WATCH_GRACE = 3_000;
 
 const STATUS_OK = 200;
@@ -32,7 +33,7 @@
 const STATUS_TOO_MANY = 429;
 const STATUS_UNAVAILABLE = 503;
 
-/** Speaks the object API by conditional HTTP requests and long polls. */
+/** Calls the object API with conditional requests and long polls. */
 export class HttpPlatform implements IPlatform {
   readonly #origin: string;
   readonly #instanceList = new InstanceListCache();
@@ -138,8 +139,8 @@
     const timeout = options.timeout ?? CALL_TIMEOUT;
     try {
       const limit = timeout + CONNECT_TIMEOUT;
-      return await withTimeLimit(limit, async (limited) => {
-        const { signal = limited } = options;
+      return await withTimeLimit(limit, async (limitSignal) => {
+        const { signal = limitSignal } = options;
         const answer = await request(`${this.#origin}${path}`, {
           method,
           dispatcher: this.#agent,
@@ -147,7 +148,7 @@
           body: options.body,
           headersTimeout: timeout,
           bodyTimeout: timeout,
-          signal: AbortSignal.any([signal, limited]),
+          signal: AbortSignal.any([signal, limitSignal]),
         });
         const text = await answer.body.text();
         const body: unknown = text === "" ? null : JSON.parse(text);
--- a/src/adapters/platform/http_platform_test.ts
+++ b/src/adapters/platform/http_platform_test.ts
@@ -3,9 +3,9 @@
 import { HttpPlatform } from "./http_platform.ts";
 
 describe("calls to the platform", () => {
-  // Guards against a list that is never read again, since its last reading
-  // trickles in and never ends.
-  it("end in time though their answers trickle in", async () => {
+  // Guards against an instance list that is never read again because the last
+  // response arrives byte by byte and never ends.
+  it("time out even if data trickles in", async () => {
     await using trickle = new TricklingTarget();
     await using platform = new HttpPlatform(`http://${await trickle.listen()}`);
     const startedAt = performance.now();
--- a/src/adapters/platform/instance_list_cache.ts
+++ b/src/adapters/platform/instance_list_cache.ts
@@ -1,12 +1,12 @@
 /**
- * The list of instances, fetched again only when it has changed.
+ * Caches the list of instances, which is fetched again only after a change.
  *
- * Every daemon asks each second; at the target size the list is 2,300 entries
- * long and changes a few hundred times a day. Sent whole each time it would
- * be by far the most of a daemon's traffic. A conditional request (ETag and
- * If-None-Match of HTTP) leaves the body out while nothing has changed; the
- * Cobra paper's crawler saves its traffic by the same means. A platform that
- * sends no ETag is read whole, as before.
+ * Every daemon requests it each second; at the target size, the list has 2,300
+ * entries and changes a few hundred times a day. Sent in full each time, it
+ * would be by far the largest part of a daemon's traffic. A conditional request
+ * (HTTP's ETag and If-None-Match) omits the body while nothing has changed, a
+ * method that the crawler of the Cobra paper uses too. If the platform sends no
+ * ETag, the full list is fetched each time.
  */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
@@ -36,25 +36,25 @@
   ),
 });
 
-/** An answer of the platform with the tag of its content. */
+/** A response of the platform with its ETag. */
 export interface ITaggedAnswer {
   readonly status: number;
   readonly body: unknown;
-  /** Names the content; null when the platform tells none. */
+  /** The ETag; null when the platform sends none. */
   readonly tag: string | null;
 }
 
-/** Keeps the last list and its tag. */
+/** Stores the last valid list and its ETag. */
 export class InstanceListCache {
   #tag: string | null = null;
   #instances: readonly IInstance[] = [];
 
-  /** What to send so that an unchanged list is not sent again. */
+  /** Request headers that make the platform omit an unchanged list. */
   get requestHeaders(): Record<string, string> {
     return this.#tag === null ? {} : { "if-none-match": this.#tag };
   }
 
-  /** The list by an answer; a list that does not parse is not taken. */
+  /** Returns the list after a response; an invalid list is not stored. */
   update(answer: ITaggedAnswer): Result<readonly IInstance[], ICallFailure> {
     if (answer.status === STATUS_NOT_MODIFIED && this.#tag !== null) {
       return Ok(this.#instances);
--- a/src/adapters/platform/instance_list_cache_test.ts
+++ b/src/adapters/platform/instance_list_cache_test.ts
@@ -1,4 +1,4 @@
-/** The list of instances: fetched when changed, and never taken half. */
+/** The instance list is fetched only if changed, and stored only if valid. */
 import { expect } from "chai";
 import { InstanceListCache } from "./instance_list_cache.ts";
 
@@ -17,7 +17,7 @@
 }
 
 describe("instance list", () => {
-  it("asks by the last tag, and keeps an unchanged list", () => {
+  it("sends the last ETag and keeps an unchanged list", () => {
     const list = new InstanceListCache();
     expect(list.requestHeaders).to.deep.equal({});
     const first = list.update(listed('"7"', ENTRY)).unwrap();
@@ -26,16 +26,15 @@
     expect(second).to.equal(first);
   });
 
-  it("reads the list whole where the platform tells no tag", () => {
+  it("fetches the full list when the platform sends no ETag", () => {
     const list = new InstanceListCache();
     list.update(listed(null, ENTRY));
     expect(list.requestHeaders).to.deep.equal({});
   });
 
-  // Somebody edits an entry by hand and leaves the address out. Taken as it
-  // is, the daemon would poll nowhere and count the instance as lost; users
-  // would notice groups that are torn down for no fault of theirs.
-  it("says where a list does not parse, and goes on by the last good one", () => {
+  // Guards against an entry without an address, as after a manual edit: the
+  // daemon would consider its instance lost and dissolve a healthy group.
+  it("reports where a list is invalid and keeps the last valid one", () => {
     const list = new InstanceListCache();
     list.update(listed('"7"', ENTRY));
     const bad = { ...ENTRY, address: undefined };
--- a/src/adapters/random/system_random.ts
+++ b/src/adapters/random/system_random.ts
@@ -1,8 +1,8 @@
-/** Chance from the host. */
+/** Random numbers and identifiers from the host. */
 import { randomUUID } from "node:crypto";
 import type { IRandom } from "../../common/services/services.ts";
 
-/** Unseeded chance, for running daemons. */
+/** Unseeded randomness, for running daemons. */
 export class SystemRandom implements IRandom {
   next(): number {
     return Math.random();
--- a/src/adapters/targets/engine_stream_reader.ts
+++ b/src/adapters/targets/engine_stream_reader.ts
@@ -1,4 +1,4 @@
-/** Reads an engine's server-sent events and checks that nothing is missing. */
+/** Parses an engine's server-sent events and checks them for gaps. */
 import { createParser } from "eventsource-parser";
 import type { EventSourceMessage } from "eventsource-parser";
 import { Err, Ok } from "ts-results-es";
@@ -10,7 +10,7 @@
 import { CallFailureKind } from "../../common/types.ts";
 import type { ICallFailure } from "../../common/types.ts";
 
-/** The data of one engine event. */
+/** The JSON data of one engine event. */
 interface IEngineEvent {
   readonly requestId: string;
   readonly group: string;
@@ -20,10 +20,10 @@
 }
 
 /**
- * Turns chunks into tokens. An event that names another request, another
- * group or generation, or leaves a gap, ends the stream with a failure: a late
- * or crossed answer would otherwise reach the wrong caller. An event that
- * comes twice is dropped.
+ * Converts chunks into tokens. An event of another request, group or
+ * generation, or one that leaves a gap, fails the stream: a late answer or one
+ * of another request could otherwise reach the wrong caller. Duplicate events
+ * are dropped.
  */
 export class EngineStreamReader {
   readonly #call: IEngineCall;
@@ -39,7 +39,7 @@
     this.#nextSequence = call.resumeFrom;
   }
 
-  /** Tokens completed by this chunk; empty when it ends inside an event. */
+  /** Returns the tokens completed by this chunk; may be empty. */
   feed(chunk: string): Result<readonly IEngineToken[], ICallFailure> {
     this.#batch = [];
     this.#parser.feed(chunk);
--- a/src/adapters/targets/http_targets.ts
+++ b/src/adapters/targets/http_targets.ts
@@ -24,24 +24,24 @@
 import { TargetConnections } from "./target_connections.ts";
 import { WireIdGenerator } from "./wire_id.ts";
 
-/** Longest wait for a new connection to a target of the zone, milliseconds. */
+/** Maximum time to connect to a target of the zone, milliseconds. */
 const CONNECT_TIMEOUT = 500;
 
-/** Shortest bound handed to the HTTP library, for which 0 means none. */
+/** Shortest timeout for the HTTP library, where 0 means none, milliseconds. */
 const SHORTEST_TIMEOUT = 1;
 
 const STATUS_OK = 200;
 
-/** How one call is sent. */
+/** How a POST request is sent. */
 interface IPostOptions {
   readonly body: string | Readable;
   readonly timeout: number;
   readonly signal?: AbortSignal;
-  /** Sent on a connection of its own. */
+  /** Uses a new connection that is closed after the call. */
   readonly isSingle?: boolean;
 }
 
-/** Speaks to targets; every call bounds how long silence may last. */
+/** Calls targets; every call has a limit on the time without any data. */
 export class HttpTargets implements ITargets {
   readonly #connections = new TargetConnections(CONNECT_TIMEOUT, () =>
     performance.now(),
@@ -80,14 +80,14 @@
   ): Promise<Result<void, ICallFailure>> {
     const { timeout, isStillDue } = options;
     let isWritten = false;
-    function* content(): Generator<Buffer> {
+    function* writeContent(): Generator<Buffer> {
       if (!isStillDue()) {
         throw new Error("the lease no longer covers the order");
       }
       isWritten = true;
       yield Buffer.from(JSON.stringify(order));
     }
-    const body = Readable.from(content(), { objectMode: false });
+    const body = Readable.from(writeContent(), { objectMode: false });
     const answer = await this.#post(address, "/orders", { body, timeout });
     return answer
       .map(() => undefined)
@@ -195,7 +195,7 @@
     }
   }
 
-  /** Names a failure; after silence the next call takes a new connection. */
+  /** Converts an error; after a timeout, the next call connects again. */
   #failureOf(
     error: unknown,
     call: {
--- a/src/adapters/targets/http_targets_test.ts
+++ b/src/adapters/targets/http_targets_test.ts
@@ -1,4 +1,4 @@
-/** Orders are written out only while the lease still covers them. */
+/** Orders are only written during the lease; reports have a time limit. */
 import { createServer } from "node:http";
 import { expect } from "chai";
 import { OrderKind } from "../../common/services/services.ts";
@@ -19,9 +19,9 @@
 };
 
 describe("orders to targets", () => {
-  // A holder is paused while it connects to an engine. Had the lease been
-  // looked at only before that, the order would go out long after its end.
-  it("asks for the lease after connecting, as the order is written", async () => {
+  // Guards against an order sent after the lease has expired: a holder that is
+  // paused while connecting must check the lease again before it writes.
+  it("checks the lease after connecting, before writing an order", async () => {
     let received = 0;
     let connected = 0;
     const server = createServer((_, response) => {
@@ -49,9 +49,9 @@
 });
 
 describe("reports of targets", () => {
-  // Guards against a target that is never asked again, since its last report
-  // trickles in and never ends.
-  it("end in time though they trickle in", async () => {
+  // Guards against a target that is never polled again because its last report
+  // arrives byte by byte and never ends.
+  it("time out even if data trickles in", async () => {
     await using trickle = new TricklingTarget();
     const address = await trickle.listen();
     await using targets = new HttpTargets();
--- a/src/adapters/targets/linked_abort_controller.ts
+++ b/src/adapters/targets/linked_abort_controller.ts
@@ -1,17 +1,17 @@
-/** Cancels one call by any of several signals, each of which may be ignored. */
+/** Aborts one call when any of several signals aborts. */
 
-/** One call's cancelling; disposed when the call is done. */
+/** Linked to its source signals until it is disposed after the call. */
 export class LinkedAbortController implements Disposable {
   readonly #controller = new AbortController();
   readonly #sources: Set<AbortSignal>;
-  readonly #abort = () => this.#controller.abort();
+  readonly #onSourceAbort = () => this.#controller.abort();
 
   constructor(sources: readonly AbortSignal[]) {
     this.#sources = new Set(sources);
     for (const source of sources) {
-      source.addEventListener("abort", this.#abort, { once: true });
+      source.addEventListener("abort", this.#onSourceAbort, { once: true });
       if (source.aborted) {
-        this.#abort();
+        this.#onSourceAbort();
       }
     }
   }
@@ -20,15 +20,15 @@
     return this.#controller.signal;
   }
 
-  /** Stops listening to one of the signals. */
+  /** Stops listening to one source signal. */
   unlink(source: AbortSignal): void {
-    source.removeEventListener("abort", this.#abort);
+    source.removeEventListener("abort", this.#onSourceAbort);
     this.#sources.delete(source);
   }
 
   [Symbol.dispose](): void {
     for (const source of this.#sources) {
-      source.removeEventListener("abort", this.#abort);
+      source.removeEventListener("abort", this.#onSourceAbort);
     }
   }
 }
--- a/src/adapters/targets/target_answers.ts
+++ b/src/adapters/targets/target_answers.ts
@@ -1,15 +1,15 @@
-/** What targets' answers mean: theirs and whole, refused, or in doubt. */
+/** Interprets responses of targets: valid, refused, or outcome unknown. */
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
 import { CallFailureKind } from "../../common/types.ts";
 import type { ICallFailure } from "../../common/types.ts";
 
-/** Statuses by which a target says that it has not acted. */
+/** Status codes with which a target states that it has not acted. */
 const REFUSAL_STATUSES: ReadonlySet<number> = new Set([
   400, 404, 409, 413, 429, 503,
 ]);
 
-/** An answer to another request must never reach this caller. */
+/** Rejects an answer to another request, which must not reach this caller. */
 export function checkServiceAnswer(
   value: unknown,
   requestId: string,
@@ -22,7 +22,7 @@
   return Ok(answer.answer);
 }
 
-/** The failure that a status other than 200 stands for. */
+/** Converts a status code other than 200 into a failure. */
 export function failureOfStatus(
   attempted: string,
   status: number,
--- a/src/adapters/targets/target_connections.ts
+++ b/src/adapters/targets/target_connections.ts
@@ -1,49 +1,49 @@
 /**
- * Connections to targets, a pool an address. Something between the two ends
- * may lose track of open connections, which then stay silent for good while
- * new ones work. One would notice by calls that time out one after another on
- * a target that answers others at once. So silence costs the whole pool its
- * place: the next call opens a new connection; and pools are retired by age.
+ * Connection pools to targets, one per address. The network may lose the state
+ * of open connections, which then stay silent forever while new ones work. The
+ * symptom is a series of timeouts on a target that answers other callers
+ * immediately. A timeout therefore retires the whole pool, so that the next
+ * call opens a new connection. Pools are also retired by age.
  */
 import { Client, Pool } from "undici";
 import type { Dispatcher } from "undici";
 
-/** Age at which a pool takes no more calls, milliseconds. */
+/** Age from which a pool accepts no more calls, milliseconds. */
 const MAXIMUM_POOL_AGE = 60_000;
 
-/** Time unused after which a pool is dropped, milliseconds. */
+/** Idle time after which a pool is closed, milliseconds. */
 const MAXIMUM_POOL_IDLE = 60_000;
 
 /**
- * Time a connection is kept for another call, milliseconds. One that carried
- * an answer just now has hardly gone silent since; connecting anew costs a
- * round trip within the zone, far below the wait for a first token.
+ * How long an idle connection is kept for reuse, milliseconds. A connection is
+ * unlikely to go silent so soon after a response. Reconnecting costs one round
+ * trip within the zone, far less than the wait for a first token.
  */
 const KEEP_ALIVE_TIMEOUT = 500;
 
-/** Connections for one call. */
+/** The pool to use for one call. */
 export interface ITargetPool {
   readonly dispatcher: Dispatcher;
-  /** Aborted when a call that has had no word yet waits in vain. */
+  /** Aborted when a call that has received nothing yet waits in vain. */
   readonly connectionLost: AbortSignal;
 }
 
 interface IOpenPool {
   readonly pool: Pool;
-  /** Aborted when the pool is known to be silent and its target is not. */
+  /** Aborted when the pool is silent although its target responds. */
   readonly lostController: AbortController;
   readonly openedAt: number;
   usedAt: number;
 }
 
-/** Hands out connections that are neither old nor known to be silent. */
+/** Provides connections that are neither old nor known to be silent. */
 export class TargetConnections {
   readonly #connectTimeout: number;
   readonly #now: () => number;
   readonly #pools = new Map<string, IOpenPool>();
-  /** Retired pools that still finish what was sent on them. */
+  /** Retired pools with calls still in flight. */
   readonly #retired = new Set<Dispatcher>();
-  /** Doubts about pools that met silence, by address. */
+  /** Controllers of retired silent pools, by address. */
   readonly #silentPools = new Map<string, Set<AbortController>>();
 
   /**
@@ -55,67 +55,67 @@
     this.#now = now;
   }
 
-  /** The pool for calls to an address now. */
+  /** Returns the current pool of an address. */
   poolFor(address: string): ITargetPool {
     const now = this.#now();
-    const known = this.#pools.get(address);
-    if (known !== undefined && now - known.openedAt < MAXIMUM_POOL_AGE) {
-      known.usedAt = now;
+    const current = this.#pools.get(address);
+    if (current !== undefined && now - current.openedAt < MAXIMUM_POOL_AGE) {
+      current.usedAt = now;
       return {
-        dispatcher: known.pool,
-        connectionLost: known.lostController.signal,
+        dispatcher: current.pool,
+        connectionLost: current.lostController.signal,
       };
     }
     this.#retireIdle(now);
-    if (known !== undefined) {
-      void this.#retire(known.pool);
+    if (current !== undefined) {
+      void this.#retire(current.pool);
     }
     const pool = new Pool(`http://${address}`, {
       connect: { timeout: this.#connectTimeout },
       keepAliveTimeout: KEEP_ALIVE_TIMEOUT,
       keepAliveMaxTimeout: KEEP_ALIVE_TIMEOUT,
     });
-    const doubt = new AbortController();
+    const lostController = new AbortController();
     this.#pools.set(address, {
       pool,
-      lostController: doubt,
+      lostController,
       openedAt: now,
       usedAt: now,
     });
-    return { dispatcher: pool, connectionLost: doubt.signal };
+    return { dispatcher: pool, connectionLost: lostController.signal };
   }
 
-  /** A connection of its own for one call; closed once that is done. */
+  /** Creates a connection for a single call, to be destroyed afterwards. */
   createSingleUse(address: string): Dispatcher {
     return new Client(`http://${address}`, {
       connect: { timeout: this.#connectTimeout },
     });
   }
 
-  /** Takes a pool out of use: a call on it met silence. */
+  /** Retires a pool on which a call has timed out. */
   retireSilentPool(address: string, pool: Dispatcher): void {
     const entry = this.#pools.get(address);
     if (entry?.pool !== pool) {
       return;
     }
     this.#pools.delete(address);
-    const doubts = this.#silentPools.get(address) ?? new Set();
-    this.#silentPools.set(address, doubts.add(entry.lostController));
+    const controllers = this.#silentPools.get(address) ?? new Set();
+    this.#silentPools.set(address, controllers.add(entry.lostController));
     void this.#retire(pool).then(() => {
-      doubts.delete(entry.lostController);
+      controllers.delete(entry.lostController);
     });
   }
 
   /**
-   * The target has answered at once on a pool in use. Calls that still wait
-   * for a first word on a pool that met silence wait in vain: they are told.
+   * Records that the target has answered on its current pool. Calls that still
+   * wait for a first response on its silent pools wait in vain: aborts them.
    */
   recordAnswer(address: string): void {
     this.#silentPools.get(address)?.forEach((doubt) => doubt.abort());
     this.#silentPools.delete(address);
   }
 
-  /** Closes a pool when what was sent on it is done. */
+  /** Closes a pool once its calls in flight are done. */
   async #retire(pool: Dispatcher): Promise<void> {
     this.#retired.add(pool);
     await pool.close().catch(() => undefined);
--- a/src/adapters/targets/wire_id.ts
+++ b/src/adapters/targets/wire_id.ts
@@ -1,28 +1,28 @@
 /**
- * Names each sending of a request apart. Two callers may give their requests
- * the same id, and one request may be sent twice: an answer that comes late
- * or crossed would then name the id that is waited for, and a caller would get
- * another's answer or a piece of an earlier one.
+ * Generates a unique id for each time that a request is sent to a target. Two
+ * callers may use the same request id, and a request may be sent twice. With
+ * the caller's id alone, a late or misrouted answer would match the awaited id,
+ * and a caller could get another's answer or a part of an earlier one.
  */
 import { randomUUID } from "node:crypto";
 import type { RequestId } from "../../common/types.ts";
 
-/** Between the caller's id and what makes a sending unique. */
+/** Separates the caller's request id from the unique suffix. */
 const SEPARATOR = "~";
 
-/** Makes names that no other sending of any process has. */
+/** Generates ids that are unique across all processes. */
 export class WireIdGenerator {
   readonly #process = randomUUID();
-  #sent = 0;
+  #count = 0;
 
-  /** The id under which a request is sent this time. */
+  /** Returns a new id for sending a request. */
   next(requestId: RequestId): string {
-    this.#sent += 1;
-    return `${requestId}${SEPARATOR}${this.#process}-${this.#sent}`;
+    this.#count += 1;
+    return `${requestId}${SEPARATOR}${this.#process}-${this.#count}`;
   }
 }
 
-/** The caller's id in the id of a sending. */
+/** Extracts the caller's request id. */
 export function requestIdOf(wireId: string): RequestId {
   const end = wireId.lastIndexOf(SEPARATOR);
   return end < 0 ? wireId : wireId.slice(0, end);
--- a/src/adapters/text_file.ts
+++ b/src/adapters/text_file.ts
@@ -1,4 +1,4 @@
-/** Reads a text file that a person names, within bounds. */
+/** Reads a text file of limited size that a user has named. */
 import { readFileSync, statSync } from "node:fs";
 import { Err, Ok } from "ts-results-es";
 import type { Result } from "ts-results-es";
@@ -8,10 +8,10 @@
 } from "../common/plans/findings.ts";
 import type { IFinding } from "../common/plans/types.ts";
 
-/** Bytes that a text of the largest number of characters may take. */
+/** Maximum size in UTF-8 of a text with `MAXIMUM_TEXT` characters. */
 const MAXIMUM_BYTES = 4 * MAXIMUM_TEXT_LENGTH;
 
-/** The file's text, or why it cannot be had. */
+/** Returns the file's text, or why it cannot be read. */
 export function readTextFile(
   path: string,
 ): Result<string, readonly IFinding[]> {
--- a/src/adapters/time_limit.ts
+++ b/src/adapters/time_limit.ts
@@ -1,11 +1,12 @@
 /**
- * Bounds a call over HTTP by time. The library looks at its own timeouts about
- * once a second, and does not end a request that still waits for a connection
- * when its signal aborts: a call bounded by 200 ms to an instance without
- * power would come back after a second, and so would the news that it is gone.
+ * Limits the time of an HTTP call. The HTTP library checks its own timeouts
+ * about once a second, and does not end a request that still waits for a
+ * connection when its signal aborts. A call with a limit of 200 ms to an
+ * instance without power would only fail after a second, and its loss would be
+ * detected later.
  */
 
-/** The call took too long; whether the other side acted is not known. */
+/** The call timed out; the other side may or may not have acted. */
 export class TimeLimitError extends Error {
   readonly code = "TIME_LIMIT";
 
@@ -17,8 +18,8 @@
 
 /**
  * @param limit - milliseconds
- * @param work - given a signal that aborts at the limit
- * @throws {TimeLimitError} at the limit, whatever the work does
+ * @param work - receives a signal that aborts at the limit
+ * @throws {TimeLimitError} at the limit, even if the work ignores the signal
  */
 export async function withTimeLimit<T>(
   limit: number,
@@ -26,7 +27,7 @@
 ): Promise<T> {
   const abort = new AbortController();
   let timer: NodeJS.Timeout | undefined;
-  const limited = new Promise<never>((_, reject) => {
+  const timeLimit = new Promise<never>((_, reject) => {
     timer = setTimeout(() => {
       const error = new TimeLimitError(limit);
       reject(error);
@@ -34,10 +35,10 @@
     }, limit);
   });
   const running = work(abort.signal);
-  // After the limit its failure has been told already.
+  // A failure after the limit has already been reported as a timeout.
   running.catch(() => undefined);
   try {
-    return await Promise.race([running, limited]);
+    return await Promise.race([running, timeLimit]);
   } finally {
     clearTimeout(timer);
   }
--- a/src/adapters/tls/certificate_reloader.ts
+++ b/src/adapters/tls/certificate_reloader.ts
@@ -1,4 +1,4 @@
-/** Keeps a TLS server's certificate as its files say. */
+/** Reloads the certificate of a TLS server when its files change. */
 import { readFileSync, statSync } from "node:fs";
 import { createSecureContext } from "node:tls";
 import type { Server } from "node:tls";
@@ -6,16 +6,16 @@
 import type { ILog } from "../../common/services/services.ts";
 import type { ICertificateFiles } from "./types.ts";
 
-/** How often the files are looked at, milliseconds. */
+/** How often the files are checked for changes, milliseconds. */
 const CHECK_INTERVAL = 5_000;
 
-/** A certificate with its key, as texts in PEM form. */
+/** A certificate and its key in PEM format. */
 export interface ICertificate {
   readonly cert: string;
   readonly key: string;
 }
 
-/** Reads both files; throws when one is missing. */
+/** Reads both files; throws if one is missing. */
 export function readCertificate(files: ICertificateFiles): ICertificate {
   return {
     cert: readFileSync(files.certificate, "utf8"),
@@ -24,9 +24,9 @@
 }
 
 /**
- * Rereads a server's certificate when its files change. A pair that does not
- * fit together, as while only one file has been replaced, is logged and the
- * last good one stays in use.
+ * Replaces a server's certificate when its files change. A certificate and key
+ * that do not match, for example while only one file has been replaced, are
+ * logged, and the last valid pair stays in use.
  */
 export class CertificateReloader implements IDisposable {
   readonly #files: ICertificateFiles;
@@ -48,7 +48,7 @@
     this.#timer.unref();
   }
 
-  /** Takes the files' content if they have changed. */
+  /** Loads the files if they have changed. */
   reloadIfChanged(): void {
     try {
       const changedAt = changeTimes(this.#files);
--- a/src/adapters/tls/peer_credentials.ts
+++ b/src/adapters/tls/peer_credentials.ts
@@ -1,21 +1,21 @@
-/** Credentials between daemons: plain, or TLS in which both sides are checked. */
+/** Credentials for calls between daemons: insecure or mutual TLS. */
 import { credentials, experimental, ServerCredentials } from "@grpc/grpc-js";
 import type { ChannelCredentials } from "@grpc/grpc-js";
 import type { IMutualTlsFiles } from "./types.ts";
 
 /**
- * How often the files are reread, milliseconds. Certificates are replaced days
- * before they run out, so a minute's delay is nothing.
+ * How often the files are reloaded, milliseconds. Certificates are replaced
+ * days before they expire, so a delay of a minute does not matter.
  */
 const RELOAD_INTERVAL = 30_000;
 
-/** What both ends of a connection between daemons show. */
+/** Credentials of both ends of a connection between daemons. */
 export interface IPeerCredentials {
   forServer(): ServerCredentials;
   forChannel(): ChannelCredentials;
 }
 
-/** No TLS: for a network that only the daemons can reach. */
+/** No TLS, for a network that only the daemons can reach. */
 export class InsecurePeerCredentials implements IPeerCredentials {
   forServer(): ServerCredentials {
     return ServerCredentials.createInsecure();
@@ -27,9 +27,9 @@
 }
 
 /**
- * Mutual TLS with files that are reread when they change. Without rereading,
- * a replaced certificate would take effect only at the next restart, which
- * one would notice as peers that are lost all at once on the day it runs out.
+ * Mutual TLS with files that are reloaded when they change. Otherwise a new
+ * certificate would only take effect after a restart, and all peers would be
+ * lost at once when the old one expires.
  */
 export class MutualTlsPeerCredentials implements IPeerCredentials {
   readonly #provider: experimental.FileWatcherCertificateProvider;
--- a/src/adapters/tls/types.ts
+++ b/src/adapters/tls/types.ts
@@ -1,13 +1,13 @@
-/** Where keys and certificates lie. */
+/** Locations of keys and certificates. */
 
-/** A certificate and its key, as files in PEM form. */
+/** Files of a certificate and its key, in PEM format. */
 export interface ICertificateFiles {
   readonly certificate: string;
   readonly key: string;
 }
 
-/** Files of a side that also checks the other side's certificate. */
+/** Files of an endpoint that also verifies the certificate of its peer. */
 export interface IMutualTlsFiles extends ICertificateFiles {
-  /** Certificates of whoever may sign a peer's certificate. */
+  /** The certificate authorities trusted to sign a peer's certificate. */
   readonly authority: string;
 }
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -1,4 +1,4 @@
-/** Wires one daemon: adapters to services, and their starting and stopping. */
+/** Connects a daemon's adapters and services, and starts and stops them. */
 import { HttpCallerServer } from "../adapters/callers/http_caller_server.ts";
 import { SystemClock } from "../adapters/clock/system_clock.ts";
 import { XxhashHash } from "../adapters/hash/xxhash_hash.ts";
@@ -41,16 +41,16 @@
 import type { Settings } from "./settings.ts";
 import { domainOptions } from "./domain_options.ts";
 
-/** The duty of watching the plan lists on behalf of the zone. */
+/** Name of the duty to watch the plan lists for the zone. */
 const WATCH_DUTY = "plan_lists";
 
-/** The duty of removing old run records on behalf of the zone. */
+/** Name of the duty to remove old run records for the zone. */
 const SWEEP_DUTY = "run_records";
 
-/** A poll later by this share of the freshness shows a pause of the daemon. */
+/** A poll that is late by this share of the freshness indicates a pause. */
 const POLL_PAUSE_SHARE = 0.2;
 
-/** Where a running daemon listens. */
+/** The addresses on which a daemon listens. */
 export interface IDaemonAddresses {
   readonly callers: string;
   readonly peers: string;
@@ -74,16 +74,16 @@
   readonly #liveDaemons: LiveDaemons;
   readonly #alarms: Alarms;
   readonly #burn: BurnRecorder;
-  readonly #lists: PlanListService;
-  readonly #directory: TargetDirectory;
+  readonly #planLists: PlanListService;
+  readonly #targetDirectory: TargetDirectory;
   readonly #domains: ZoneDomains;
-  readonly #groups: GroupDirectory;
+  readonly #groupDirectory: GroupDirectory;
   readonly #health: GroupHealth;
   readonly #sweeper: RunRecordSweeper;
   readonly #forwarder: GrpcForwarder;
   readonly #pipeline: RequestPipeline;
-  readonly #callers: HttpCallerServer;
-  readonly #operations: OperationsServer;
+  readonly #callerServer: HttpCallerServer;
+  readonly #operationsServer: OperationsServer;
   readonly #peerServer: GrpcPeerServer;
   readonly #digests: DigestService;
   #peerService: PeerService | null = null;
@@ -105,12 +105,12 @@
     this.#platform = new MeteredPlatform(this.#httpPlatform, this.#metrics);
     this.#alarms = new Alarms(this.#clock, log, { metrics: this.#metrics });
     this.#burn = new BurnRecorder(this.#clock, burnObjectives(settings));
-    this.#lists = this.#createLists();
-    this.#directory = this.#createDirectory();
+    this.#planLists = this.#createLists();
+    this.#targetDirectory = this.#createDirectory();
     this.#domains = this.#createDomains();
-    this.#groups = new GroupDirectory(
+    this.#groupDirectory = new GroupDirectory(
       {
-        targets: this.#directory,
+        targets: this.#targetDirectory,
         domains: () => this.#domains.all,
         clock: this.#clock,
         random: this.#random,
@@ -122,13 +122,13 @@
     this.#sweeper = this.#createSweeper();
     this.#forwarder = new GrpcForwarder(this.#credentials);
     this.#pipeline = this.#createPipeline();
-    this.#callers = this.#createCallerServer();
-    this.#operations = new OperationsServer(this, this.#metrics);
+    this.#callerServer = this.#createCallerServer();
+    this.#operationsServer = new OperationsServer(this, this.#metrics);
     this.#digests = this.#createDigests();
     this.#peerServer = this.#createPeerServer();
   }
 
-  /** Starts a daemon and logs where it listens. */
+  /** Starts a daemon and logs the addresses on which it listens. */
   static async start(settings: Settings): Promise<Daemon> {
     const { name, zone } = settings.daemon;
     const log = await LogfmtLog.create({ daemon: name, zone });
@@ -138,16 +138,16 @@
   }
 
   get isReady(): boolean {
-    return !this.#isStopping && this.#lists.isReady;
+    return !this.#isStopping && this.#planLists.isReady;
   }
 
   /** Whether at least one replica group of the zone is complete. */
   get canServe(): boolean {
-    const groups = this.#groups.groups();
+    const groups = this.#groupDirectory.groups();
     return this.isReady && groups.some(({ isComplete }) => isComplete);
   }
 
-  /** The daemon's own account of itself, for `cranberryledge status`. */
+  /** The daemon's status, for `cranberryledge status`. */
   status(): IDaemonStatus {
     const { name, zone } = this.#settings.daemon;
     return {
@@ -157,13 +157,13 @@
       ready: this.isReady,
       stopping: this.#isStopping,
       in_flight: this.#pipeline.dispatcher.inFlight,
-      lists: this.#lists.versions,
-      lists_age_ms: this.#lists.age,
+      lists: this.#planLists.versions,
+      lists_age_ms: this.#planLists.age,
       live_daemons: this.#liveDaemons.inZone,
       zones: this.#peerService?.zones ?? [],
       alarms: this.#alarms.raised,
       findings: [
-        ...this.#lists.findings,
+        ...this.#planLists.findings,
         ...(this.#peerService?.findings ?? []),
       ].map(formatFinding),
       domains: this.#domains.all.map((domain) => ({
@@ -173,7 +173,7 @@
         holding: domain.isHolding,
       })),
       spares: this.#health.spares,
-      groups: this.#groups.groups().map(({ group, isComplete }) => ({
+      groups: this.#groupDirectory.groups().map(({ group, isComplete }) => ({
         ...group,
         complete: isComplete,
         down_ms: Math.round(this.#health.downtimeOf(group.id)),
@@ -181,12 +181,12 @@
     };
   }
 
-  /** What callers got, for `cranberryledge report burn`. */
+  /** Measured service levels, for `cranberryledge report burn`. */
   burn(): IDaemonBurn {
     return this.#burn.read(this.#id, this.#settings.daemon.zone);
   }
 
-  /** Finishes all in flight, gives leases back, and stops. */
+  /** Completes all requests in flight, releases leases, and stops. */
   async stop(): Promise<void> {
     if (this.#isStopping) {
       return;
@@ -195,19 +195,19 @@
     this.#log.info("stopping", {
       in_flight: this.#pipeline.dispatcher.inFlight,
     });
-    await this.#callers.stop();
+    await this.#callerServer.stop();
     await this.#pipeline.close();
     this.#sweeper.dispose();
     await this.#domains.close();
     this.#health.dispose();
-    this.#directory.dispose();
+    this.#targetDirectory.dispose();
     this.#digests.dispose();
-    this.#lists.dispose();
+    this.#planLists.dispose();
     await this.#peerService?.leave();
     await this.#peerServer[Symbol.asyncDispose]();
     await this.#peers[Symbol.asyncDispose]();
     await this.#forwarder[Symbol.asyncDispose]();
-    await this.#operations[Symbol.asyncDispose]();
+    await this.#operationsServer[Symbol.asyncDispose]();
     await this.#targets[Symbol.asyncDispose]();
     await this.#httpPlatform[Symbol.asyncDispose]();
     this.#log.info("stopped");
@@ -216,8 +216,8 @@
 
   async #start(): Promise<void> {
     const { daemon } = this.#settings;
-    const callers = await this.#callers.listen(daemon.callers);
-    const operations = await this.#operations.listen(daemon.operations);
+    const callers = await this.#callerServer.listen(daemon.callers);
+    const operations = await this.#operationsServer.listen(daemon.operations);
     const port = await this.#peerServer.listen(daemon.peers);
     const peers = `${splitAddress(daemon.peers).host}:${port}`;
     this.#peerService = this.#createPeerService({
@@ -228,7 +228,7 @@
       operationsAddress: operations,
     });
     const { lists } = this.#settings;
-    this.#lists.start(
+    this.#planLists.start(
       {
         isWatcher: () => this.#liveDaemons.isChosen(WATCH_DUTY, lists.watchers),
       },
@@ -238,7 +238,7 @@
         longestRetry: lists.longest_retry,
       },
     );
-    this.#directory.start();
+    this.#targetDirectory.start();
     this.#domains.start();
     this.#health.start();
     this.#peerService.start();
@@ -289,7 +289,7 @@
         targets: this.#targets,
         clock: this.#clock,
         log: this.#log,
-        directory: this.#directory,
+        directory: this.#targetDirectory,
         live: this.#liveDaemons,
       },
       domainOptions(this.#settings, this.#id),
@@ -308,8 +308,8 @@
 
   #createHealth(): GroupHealth {
     return new GroupHealth({
-      groups: this.#groups,
-      directory: this.#directory,
+      groups: this.#groupDirectory,
+      directory: this.#targetDirectory,
       clock: this.#clock,
       log: this.#log,
       metrics: this.#metrics,
@@ -321,9 +321,9 @@
     return new RequestPipeline(this.#settings, {
       platform: this.#platform,
       targets: this.#targets,
-      groups: this.#groups,
+      groups: this.#groupDirectory,
       forwarder: this.#forwarder,
-      book: this.#lists.plans,
+      plans: this.#planLists.plans,
       zones: () => this.#peerService?.zones ?? [],
       clock: this.#clock,
       random: this.#random,
@@ -335,9 +335,9 @@
   #createCallerServer(): HttpCallerServer {
     return new HttpCallerServer({
       dispatcher: this.#pipeline.dispatcher,
-      book: this.#lists.plans,
+      plans: this.#planLists.plans,
       burn: this.#burn,
-      areListsReady: () => this.#lists.isReady,
+      areListsReady: () => this.#planLists.isReady,
       services: serviceDefinitions(this.#settings),
       clock: this.#clock,
       random: this.#random,
@@ -357,10 +357,10 @@
         hash: this.#hash,
         log: this.#log,
         metrics: this.#metrics,
-        lists: this.#lists,
+        lists: this.#planLists,
         live: this.#liveDaemons,
         seeds: this.#settings.daemon.seeds,
-        loads: () => zoneLoads(this.#groups, this.#directory),
+        loads: () => zoneLoads(this.#groupDirectory, this.#targetDirectory),
       },
       self,
     );
@@ -373,7 +373,7 @@
         clock: this.#clock,
         hash: this.#hash,
         metrics: this.#metrics,
-        directory: this.#directory,
+        directory: this.#targetDirectory,
         members: () => this.#peerService?.liveMembers ?? [],
       },
       { self: this.#id, period: this.#settings.polling.targets },
@@ -381,24 +381,25 @@
   }
 
   #createPeerServer(): GrpcPeerServer {
-    const started = () => {
+    const requirePeerService = () => {
       // The server listens before the service exists, since the service needs
-      // the port; a peer that calls in between gets an error and asks again.
+      // the port. A peer that calls before then gets an error and retries.
       if (this.#peerService === null) {
         throw new Error("starting");
       }
       return this.#peerService;
     };
-    const answers: IPeerRequestHandler = {
-      handleProbe: (probe) => started().handleProbe(probe),
-      relayProbe: (probe, target) => started().relayProbe(probe, target),
-      view: () => started().view,
+    const handler: IPeerRequestHandler = {
+      handleProbe: (probe) => requirePeerService().handleProbe(probe),
+      relayProbe: (probe, target) =>
+        requirePeerService().relayProbe(probe, target),
+      view: () => requirePeerService().view,
       digests: (held) => this.#digests.answerPull(held),
-      zones: (question) => started().answerZones(question),
-      listText: (list) => this.#lists.plans.text(list),
+      zones: (question) => requirePeerService().answerZones(question),
+      listText: (list) => this.#planLists.plans.text(list),
     };
     const { forwardService } = this.#pipeline;
-    return new GrpcPeerServer(answers, {
+    return new GrpcPeerServer(handler, {
       credentials: this.#credentials,
       onForwardedRequest: (request, signal) =>
         forwardService.serve(request, signal),
--- a/src/daemon/domain_options.ts
+++ b/src/daemon/domain_options.ts
@@ -1,4 +1,4 @@
-/** What the settings say about leases and replica groups. */
+/** Derives the options of leases and replica groups from the settings. */
 import type { IWantedGroups } from "../common/groups/formation.ts";
 import { chooseGroupCount } from "../common/groups/spare_count.ts";
 import type { IZoneDomainOptions } from "../common/services/zone_domains.ts";
@@ -7,21 +7,21 @@
 import { serviceDefinitions } from "./settings.ts";
 import type { Settings } from "./settings.ts";
 
-/** Share of the takeover margin within which an engine may act on an order. */
+/** Share of the takeover margin for which an order stays valid. */
 const ORDER_VALIDITY_SHARE = 0.5;
 
-/** Share of the takeover margin by which a holder stops before its end. */
+/** Share of the takeover margin by which a holder stops before lease end. */
 const SAFETY_SHARE = 0.25;
 
 /** A gap between ticks longer than this share of the lease is a pause. */
 const PAUSE_SHARE = 0.2;
 
-/** Losses are forgotten slower than the longest hold lasts. */
+/** Half-life of losses in longest holds, so that it exceeds any hold. */
 const FORGET_FACTOR = 2;
 
 const DAY_MS = 24 * 3_600_000;
 
-/** Options for every domain of the daemon's zone. */
+/** Returns the options for every domain of the daemon's zone. */
 export function domainOptions(
   settings: Settings,
   daemon: DaemonId,
@@ -54,7 +54,7 @@
   };
 }
 
-/** Splits a domain's engines evenly between the engine services. */
+/** Divides a domain's replica groups evenly among the engine services. */
 function wantedGroups(
   settings: Settings,
   engines: number,
@@ -70,7 +70,7 @@
   }));
 }
 
-/** Groups that a domain should form of its engines, the rest being spares. */
+/** Number of groups to form from a domain's engines; the rest are spares. */
 function groupCount(groups: Settings["groups"], engines: number): number {
   const { members, weights, spare_share: fixedShare } = groups;
   if (fixedShare !== undefined) {
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,10 +1,10 @@
 #!/usr/bin/env node
-/** `cranberryledged SETTINGS`: the daemon's own process. */
+/** Entry point of the daemon: `cranberryledged SETTINGS`. */
 import { formatFinding } from "../common/plans/findings.ts";
 import { Daemon } from "./daemon.ts";
 import { loadSettings } from "./settings.ts";
 
-/** Exit code when the settings have findings. */
+/** Exit code when the settings are missing or invalid. */
 const EXIT_BAD_SETTINGS = 2;
 
 async function main(): Promise<void> {
--- a/src/daemon/operations_server.ts
+++ b/src/daemon/operations_server.ts
@@ -1,10 +1,10 @@
-/** What operators and collectors read: status, readiness, metrics. */
+/** Serves status, readiness and metrics to operators and collectors. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { listenOn } from "../adapters/listen.ts";
 import type { PrometheusMetrics } from "../adapters/metrics/prometheus_metrics.ts";
 
-/** A daemon's own account of itself. */
+/** Provides a daemon's status and its burn report. */
 export interface IStatusSource {
   status(): object;
   burn(): object;
--- a/src/daemon/request_pipeline.ts
+++ b/src/daemon/request_pipeline.ts
@@ -1,4 +1,4 @@
-/** Wires the way of a request: admission, runners, and other zones. */
+/** Connects the stages of a request: admission, runners and other zones. */
 import { sha256Hex } from "../adapters/callers/http_caller_server.ts";
 import type { GrpcForwarder } from "../adapters/peers/grpc_forwarder.ts";
 import { chooseSpillTargets } from "../common/decisions/spill.ts";
@@ -27,14 +27,14 @@
 import { serviceDefinitions } from "./settings.ts";
 import type { Settings } from "./settings.ts";
 
-/** What the way of a request is made of. */
+/** The dependencies of the request pipeline. */
 export interface IRequestPipelineParts {
   readonly platform: IPlatform;
   readonly targets: ITargets;
   readonly groups: GroupDirectory;
   readonly forwarder: GrpcForwarder;
-  readonly book: EffectivePlans;
-  /** What is known of the other zones. */
+  readonly plans: EffectivePlans;
+  /** Summaries of the other zones. */
   readonly zones: () => readonly IZoneSummary[];
   readonly clock: IClock;
   readonly random: IRandom;
@@ -42,40 +42,40 @@
   readonly metrics: IMetrics;
 }
 
-/** Everything between a checked request and its answer. */
+/** Processes a validated request up to its answer. */
 export class RequestPipeline {
   readonly dispatcher: CallDispatcher;
   readonly forwardService: ForwardService;
   readonly #parts: IRequestPipelineParts;
   readonly #settings: Settings;
   readonly #retries: RetryService;
-  readonly #services: PlainServiceRunner;
+  readonly #plainServices: PlainServiceRunner;
 
   constructor(settings: Settings, parts: IRequestPipelineParts) {
     this.#settings = settings;
     this.#parts = parts;
-    const { book, clock, metrics } = parts;
+    const { plans, clock, metrics } = parts;
     this.#retries = this.#createRetries();
     const admission = this.#createAdmission();
     const engines = this.#createEngines();
     const services = serviceDefinitions(settings);
-    this.#services = this.#createServices();
+    this.#plainServices = this.#createPlainServices();
     this.forwardService = new ForwardService({
-      ...{ admission, engines, book, services, clock },
+      ...{ admission, engines, book: plans, services, clock },
     });
     this.dispatcher = new CallDispatcher({
       admission,
-      engines: this.#createSpilling(engines),
-      services: this.#services,
+      engines: this.#createSpillingEngines(engines),
+      services: this.#plainServices,
       clock,
       metrics,
     });
   }
 
-  /** Lets requests of other zones and calls that run once finish. */
+  /** Waits for forwarded requests and at-most-once calls to finish. */
   async close(): Promise<void> {
     await this.forwardService.stop();
-    await this.#services.close();
+    await this.#plainServices.close();
   }
 
   #createAdmission(): AdmissionService {
@@ -104,7 +104,7 @@
     );
   }
 
-  #createSpilling(local: EngineRunner): SpillingEngineRunner {
+  #createSpillingEngines(local: EngineRunner): SpillingEngineRunner {
     const { clock, forwarder, log, metrics } = this.#parts;
     return new SpillingEngineRunner({
       ...{ local, forwarder, clock, log, metrics },
@@ -112,7 +112,7 @@
     });
   }
 
-  #createServices(): PlainServiceRunner {
+  #createPlainServices(): PlainServiceRunner {
     const { clock, groups, log, metrics, platform, random, targets } =
       this.#parts;
     const records = new RunRecordService({
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -1,4 +1,4 @@
-/** A daemon's settings: a YAML file, checked whole before anything starts. */
+/** The daemon's settings: a YAML file, validated before anything starts. */
 import type { Result } from "ts-results-es";
 import { z } from "zod";
 import { readTextFile } from "../adapters/text_file.ts";
@@ -36,7 +36,7 @@
 
 const groupsSchema = z.strictObject({
   members: z.number().int().positive().default(4),
-  /** What a group's downtime and a stranded instance cost, each to the other. */
+  /** Relative costs of a group's downtime and of a stranded instance. */
   weights: z
     .strictObject({
       group_downtime: z.number().positive().default(1),
@@ -45,27 +45,27 @@
     .prefault({}),
   /** Failures of one instance a day; 42 of 2,300 at the target size. */
   failures_a_day: z.number().positive().default(0.018),
-  /** From an instance's failure until the platform has brought another. */
+  /** From an instance's failure until the platform provides a replacement. */
   return_time: durationSchema.default(30 * 60_000),
-  /** From a failure until a group with a spare serves again. */
+  /** From a failure until a group serves again when a spare is available. */
   heal_time: durationSchema.default(60_000),
-  /** Fixes the share of engines held back, instead of what follows above. */
+  /** Fixed share of spare engines; overrides the share computed from above. */
   spare_share: z.number().min(0).max(0.5).optional(),
   lease: durationSchema.default(5_000),
   takeover_margin: durationSchema.default(2_000),
   renew_every: durationSchema.default(1_500),
   freshness: durationSchema.default(2_000),
   replace_after: durationSchema.default(4_000),
-  /** Engines of one domain that may load from the weight store at once. */
+  /** Maximum engines of a domain that load from the weight store at once. */
   concurrent_loads: z.number().int().positive().default(8),
-  /** How long a member that was lost twice is kept out of groups. */
+  /** How long a member that was lost twice is excluded from groups. */
   hold_after_loss: durationSchema.default(15_000),
   longest_hold: durationSchema.default(300_000),
 });
 
-/** The plan lists: how they are followed on the platform. */
+/** How changes to the plan lists on the platform are detected. */
 const listsSchema = z.strictObject({
-  /** Daemons a zone that watch; the rest poll, and hear from their peers. */
+  /** Daemons per zone that watch; others poll and are notified by peers. */
   watchers: z.number().int().positive().max(10).default(2),
   watch: durationSchema.default(2_500),
   poll: durationSchema.default(30_000),
@@ -81,19 +81,19 @@
 
 const shareSchema = z.number().gt(0).lt(1);
 
-/** What the burn report holds services to. */
+/** Service level objectives of the burn report. */
 const objectivesSchema = z.strictObject({
   whole_on_time: z
     .strictObject({ share: shareSchema.default(0.999) })
     .prefault({}),
-  /** Source: the target of 0.82 s for 95 in 100. */
+  /** Target: 0.82 s for 95 %. */
   first_token: z
     .strictObject({
       share: shareSchema.default(0.95),
       within: durationSchema.default(820),
     })
     .prefault({}),
-  /** Source: the target of 58 ms for 95 in 100. */
+  /** Target: 58 ms for 95 %. */
   between_tokens: z
     .strictObject({
       share: shareSchema.default(0.95),
@@ -102,7 +102,7 @@
     .prefault({}),
 });
 
-/** Longest silences of an engine before its connection is doubted. */
+/** Maximum silence of an engine before its connection is suspected. */
 const callsSchema = z.strictObject({
   first_token: durationSchema.default(5_000),
   next_token: durationSchema.default(1_000),
@@ -114,9 +114,9 @@
 });
 
 const tlsSchema = z.strictObject({
-  /** What callers are shown; without it they speak plain HTTP. */
+  /** The certificate for callers; without it, the server uses plain HTTP. */
   callers: certificateSchema.optional(),
-  /** What daemons show one another and check; without it, no TLS. */
+  /** The certificate for mutual TLS between daemons; without it, no TLS. */
   peers: certificateSchema.extend({ authority: z.string().min(1) }).optional(),
 });
 
@@ -126,10 +126,10 @@
     zone: z.string().min(1),
     callers: addressSchema,
     peers: addressSchema,
-    /** Where peers reach this daemon, if not where it listens. */
+    /** The address for peers, if different from the listening address. */
     peers_advertised: addressSchema.optional(),
     operations: addressSchema,
-    /** Peers to ask when the platform cannot say who they are. */
+    /** Peers to contact when the platform cannot list them. */
     seeds: z.array(addressSchema).max(100).default([]),
   }),
   platform: z.strictObject({ address: addressSchema }),
@@ -142,10 +142,10 @@
   objectives: objectivesSchema.prefault({}),
 });
 
-/** Settings as checked; durations are milliseconds. */
+/** Validated settings; durations are in milliseconds. */
 export type Settings = z.infer<typeof settingsSchema>;
 
-/** Checks settings, reporting every finding with its place. */
+/** Validates settings and reports every finding with its location. */
 export function checkSettings(
   source: string,
   text: string,
@@ -154,20 +154,20 @@
   return checkDocument(source, text, { schema }).map(({ content }) => content);
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function loadSettings(
   path: string,
 ): Result<Settings, readonly IFinding[]> {
   return readTextFile(path).andThen((text) => checkSettings(path, text));
 }
 
-/** What the burn report holds services to. */
+/** Returns the service level objectives of the burn report. */
 export function burnObjectives(settings: Settings): Objectives {
   const { whole_on_time: whole, ...tokens } = settings.objectives;
   return { whole_on_time: { ...whole, within: null }, ...tokens };
 }
 
-/** The services of the settings, as the rest of the program knows them. */
+/** Returns the definitions of the services in the settings. */
 export function serviceDefinitions(
   settings: Settings,
 ): ReadonlyMap<ServiceName, IServiceDefinition> {
