--- a/src/adapters/callers/http_caller_server.ts
+++ b/src/adapters/callers/http_caller_server.ts
@@ -198,17 +198,17 @@
       requestId,
       callerLeft.signal,
     );
-    const served = request.isOk()
+    const measurement = request.isOk()
       ? this.#parts.burn.observeRequest(request.value)
       : null;
     const dispatched = request.isErr()
       ? Err(request.error)
       : await this.#parts.dispatcher.dispatch(request.value);
-    const answer = served?.observeAnswer(dispatched) ?? dispatched;
+    const answer = measurement?.observeAnswer(dispatched) ?? dispatched;
     const sent = answer.isErr()
       ? sendRefusal(response, requestId, answer.error)
       : await sendAnswer(response, requestId, answer.value);
-    served?.finish(sent);
+    measurement?.finish(sent);
     this.#recordRequest(incoming, requestId, { sent, started });
   }
 
--- a/src/adapters/exchange/inner_server.ts
+++ b/src/adapters/exchange/inner_server.ts
@@ -12,7 +12,7 @@
 export const EXCHANGE_PATH = "/exchange";
 const METRICS_PATH = "/metrics";
 
-/** Characters; a report of a process takes only a few kilobytes. */
+/** Characters; a valid report takes only a few kilobytes. */
 const MAXIMUM_REPORT_LENGTH = 262_144;
 
 const STATUS_OK = 200;
@@ -42,7 +42,7 @@
 
 /** Answers the requests of the inner server. */
 export interface IInnerServerHandler {
-  exchange(word: IProcessReport): Promise<ExchangeAnswer>;
+  exchange(report: IProcessReport): Promise<ExchangeAnswer>;
   metrics(): Promise<string>;
 }
 
--- a/src/adapters/log/bounded_log.ts
+++ b/src/adapters/log/bounded_log.ts
@@ -67,8 +67,8 @@
     });
     const limit = new AbortController();
     const timer = this.#clock.after(FLUSH_TIMEOUT, () => limit.abort());
-    const over = once(limit.signal, "abort");
-    await Promise.race([flushed, over]);
+    const timedOut = once(limit.signal, "abort");
+    await Promise.race([flushed, timedOut]);
     timer.dispose();
   }
 
--- a/src/adapters/metrics/prometheus_metrics.ts
+++ b/src/adapters/metrics/prometheus_metrics.ts
@@ -11,10 +11,10 @@
 const NO_LABELS: Labels = {};
 
 /** Longer durations are recorded as this, milliseconds: ten minutes. */
-const LARGEST_DURATION = 600_000;
+const MAXIMUM_DURATION = 600_000;
 
 /** Percentiles exposed for each latency. */
-const QUANTILES: readonly number[] = [50, 95, 99];
+const PERCENTILES: readonly number[] = [50, 95, 99];
 
 /** Uses prom-client for counters and gauges, HDR histograms for latencies. */
 export class PrometheusMetrics implements IMetrics {
@@ -44,7 +44,7 @@
   ): void {
     const value = Math.min(
       Math.max(Math.round(milliseconds), 0),
-      LARGEST_DURATION,
+      MAXIMUM_DURATION,
     );
     this.#histogram(name, labels).recordValue(value);
   }
@@ -74,9 +74,9 @@
     const help = HELP_TEXTS[name] ?? name;
     const options = { labelNames, help };
     const gauge = this.#gaugeNamed(`${name}_milliseconds`, options);
-    for (const quantile of QUANTILES) {
-      const value = histogram.getValueAtPercentile(quantile);
-      gauge.set({ ...labels, quantile: String(quantile / 100) }, value);
+    for (const percentile of PERCENTILES) {
+      const value = histogram.getValueAtPercentile(percentile);
+      gauge.set({ ...labels, quantile: String(percentile / 100) }, value);
     }
   }
 
@@ -93,7 +93,7 @@
         bitBucketSize: 32,
         autoResize: true,
         lowestDiscernibleValue: 1,
-        highestTrackableValue: LARGEST_DURATION,
+        highestTrackableValue: MAXIMUM_DURATION,
         numberOfSignificantValueDigits: 2,
       });
       series.set(key, histogram);
--- a/src/adapters/peers/grpc_forwarder.ts
+++ b/src/adapters/peers/grpc_forwarder.ts
@@ -100,7 +100,7 @@
   }
 }
 
-/** Maps an unknown outcome or reason to the one that leaves it in doubt. */
+/** An unknown outcome is in doubt; an unknown reason means a lost target. */
 function readRefusal(refusal: ForwardRefusal__Output): IRefusal {
   const { detail, outcome, retryAfter } = refusal;
   const reasons = Object.values(Reason);
--- a/src/adapters/peers/peer_messages.ts
+++ b/src/adapters/peers/peer_messages.ts
@@ -115,7 +115,7 @@
   };
 }
 
-/** An empty part was omitted by the sender, and is null. */
+/** An empty part was omitted by the sender and becomes null. */
 export function readDigestRow(row: DigestRow__Output): IDigestRow {
   const { poller, identityVersion, loadVersion, age } = row;
   const identities =
--- a/src/adapters/platform/http_platform.ts
+++ b/src/adapters/platform/http_platform.ts
@@ -19,8 +19,9 @@
 import { InstanceListCache } from "./instance_list_cache.ts";
 import type { ITaggedAnswer } from "./instance_list_cache.ts";
 
-/** Milliseconds. The platform usually answers within a few of them. */
+/** Milliseconds; the platform normally answers within a few. */
 const CALL_TIMEOUT = 2_000;
+
 /** Milliseconds. */
 const CONNECT_TIMEOUT = 1_000;
 
--- a/src/adapters/targets/target_connections.ts
+++ b/src/adapters/targets/target_connections.ts
@@ -111,7 +111,7 @@
    * wait for a first response on its silent pools wait in vain: aborts them.
    */
   recordAnswer(address: string): void {
-    this.#silentPools.get(address)?.forEach((doubt) => doubt.abort());
+    this.#silentPools.get(address)?.forEach((controller) => controller.abort());
     this.#silentPools.delete(address);
   }
 
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -105,8 +105,8 @@
     this.#platform = new MeteredPlatform(this.#httpPlatform, this.#metrics);
     this.#alarms = new Alarms(this.#clock, log, { metrics: this.#metrics });
     this.#burn = new BurnRecorder(this.#clock, burnObjectives(settings));
-    this.#planLists = this.#createLists();
-    this.#targetDirectory = this.#createDirectory();
+    this.#planLists = this.#createPlanLists();
+    this.#targetDirectory = this.#createTargetDirectory();
     this.#domains = this.#createDomains();
     this.#groupDirectory = new GroupDirectory(
       {
@@ -247,7 +247,7 @@
     this.#log.info("listening", { callers, peers, operations });
   }
 
-  #createLists(): PlanListService {
+  #createPlanLists(): PlanListService {
     return new PlanListService({
       platform: this.#platform,
       clock: this.#clock,
@@ -258,7 +258,7 @@
     });
   }
 
-  #createDirectory(): TargetDirectory {
+  #createTargetDirectory(): TargetDirectory {
     const { daemon, groups, polling } = this.#settings;
     return new TargetDirectory(
       {
