--- a/src/stand_ins/embedded/main.ts
+++ b/src/stand_ins/embedded/main.ts
@@ -1,4 +1,4 @@
-/** `npm start`: one daemon and every stand-in, embedded in one process. */
+/** `npm start`: runs one daemon with its stand-ins in one process. */
 import { readFileSync } from "node:fs";
 import { request } from "undici";
 import { parse } from "yaml";
@@ -17,9 +17,10 @@
 const ANY_PORT = "127.0.0.1:0";
 const CALLERS = process.env["CRANBERRYLEDGE_CALLERS"] ?? "127.0.0.1:8080";
 const ENGINES = 8;
+/** Milliseconds. */
 const READY_CHECK_INTERVAL = 200;
 
-/** Examples stand beside the sources and beside the build alike. */
+/** Relative to the working directory, so that sources and build find them. */
 const EXAMPLES = `${process.cwd()}/examples/song_lam`;
 
 async function startEngine(platform: string, index: number): Promise<void> {
--- a/src/stand_ins/engine_member/engine_member.ts
+++ b/src/stand_ins/engine_member/engine_member.ts
@@ -1,4 +1,4 @@
-/** A model engine member, as a stand-in: four of them make one replica. */
+/** Stand-in for one instance of a model engine; four form one replica. */
 import { randomUUID } from "node:crypto";
 import type { ServerResponse } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -22,8 +22,9 @@
 const STATUS_REFUSED = 409;
 const STATUS_UNAVAILABLE = 503;
 
-/** How often the other members are asked while a request runs. */
+/** Milliseconds between checks of the other members while a request runs. */
 const MEMBER_CHECK_INTERVAL = 100;
+/** Milliseconds. */
 const MEMBER_CHECK_TIMEOUT = 500;
 
 interface IMembership extends IGroupMembership {
@@ -31,13 +32,14 @@
   readonly members: readonly string[];
 }
 
+/** Body of the call that asks another member to take part in a request. */
 interface IMemberWork {
   readonly requestId: string;
   readonly group: string;
   readonly generation: number;
 }
 
-/** One instance of the model engine. */
+/** Executes orders, and streams tokens while all members are present. */
 export class EngineMember {
   readonly #options: IEngineMemberOptions;
   readonly #incarnation = randomUUID();
@@ -150,7 +152,7 @@
     return okAnswer({});
   }
 
-  /** Loads weights while in no group. */
+  /** Loads a model's weights on a spare, which is in no group. */
   #loadSpare(order: IEngineOrder): IJsonAnswer {
     if (this.#membership !== null) {
       return errorAnswer(STATUS_REFUSED, "in a group");
@@ -184,13 +186,13 @@
     }, this.#options.loadTime);
   }
 
-  /** Another member asks this one to take part in a request. */
+  /** Handles another member's call to take part in a request. */
   #handleWork(work: IMemberWork): IJsonAnswer {
     const membership = this.#membership;
-    const isOurs =
+    const isSameGroup =
       membership?.group === work.group &&
       membership.generation === work.generation;
-    if (!isOurs || !this.#isServing) {
+    if (!isSameGroup || !this.#isServing) {
       return errorAnswer(STATUS_REFUSED, "not a member of that group");
     }
     this.#record(
@@ -208,60 +210,60 @@
   }
 
   async #generate(
-    wanted: IEngineCall,
+    engineCall: IEngineCall,
     response: ServerResponse,
   ): Promise<IJsonAnswer | null> {
     const membership = this.#membership;
-    const isNamed =
-      membership?.group === wanted.group &&
-      membership.generation === wanted.generation;
+    const isSameGroup =
+      membership?.group === engineCall.group &&
+      membership.generation === engineCall.generation;
     if (membership === null || !this.#isServing) {
       return errorAnswer(STATUS_UNAVAILABLE, "in no group");
     }
-    if (!isNamed && this.#options.fencing === FencingMode.Refuse) {
+    if (!isSameGroup && this.#options.fencing === FencingMode.Refuse) {
       return errorAnswer(STATUS_REFUSED, "another group or generation");
     }
     if (this.#state === TargetState.Leaving || this.#faults.isRefusing) {
       return errorAnswer(STATUS_UNAVAILABLE, "leaving");
     }
-    if (!(await this.#areMembersPresent(membership, wanted.requestId))) {
+    if (!(await this.#areMembersPresent(membership, engineCall.requestId))) {
       return errorAnswer(STATUS_UNAVAILABLE, "a member is missing");
     }
-    await this.#streamAnswer(wanted, membership, response);
+    await this.#streamAnswer(engineCall, membership, response);
     return null;
   }
 
   async #streamAnswer(
-    wanted: IEngineCall,
+    engineCall: IEngineCall,
     membership: IMembership,
     response: ServerResponse,
   ): Promise<void> {
     this.#running += 1;
-    this.#record("began", membership, wanted.requestId);
-    let isBroken = false;
+    this.#record("began", membership, engineCall.requestId);
+    let isMemberMissing = false;
     const check = setInterval(() => {
-      void this.#areMembersPresent(membership, wanted.requestId).then(
-        (isWhole) => {
-          isBroken ||= !isWhole;
+      void this.#areMembersPresent(membership, engineCall.requestId).then(
+        (arePresent) => {
+          isMemberMissing ||= !arePresent;
         },
       );
     }, MEMBER_CHECK_INTERVAL);
     await sleep(this.#options.firstTokenTime);
     response.writeHead(200, { "content-type": "text/event-stream" });
-    let sequence = wanted.resumeFrom;
+    let sequence = engineCall.resumeFrom;
     while (
-      sequence < wanted.maximumTokens &&
-      !isBroken &&
+      sequence < engineCall.maximumTokens &&
+      !isMemberMissing &&
       !response.destroyed &&
       !response.writableEnded
     ) {
-      const text = tokenText(wanted.prompt, sequence);
-      const event = formatEvent(wanted, membership, { sequence, text });
-      const { requestId } = wanted;
-      const struck = this.#faults.apply(event, sequence, requestId);
-      response.write(struck.text);
-      if (struck.closing !== "no") {
-        closeResponse(response, struck.closing);
+      const text = tokenText(engineCall.prompt, sequence);
+      const event = formatEvent(engineCall, membership, { sequence, text });
+      const { requestId } = engineCall;
+      const faultyEvent = this.#faults.apply(event, sequence, requestId);
+      response.write(faultyEvent.text);
+      if (faultyEvent.closing !== "no") {
+        closeResponse(response, faultyEvent.closing);
       }
       sequence += 1;
       this.#tokens += 1;
@@ -269,18 +271,18 @@
     }
     clearInterval(check);
     this.#running -= 1;
-    this.#tokens -= sequence - wanted.resumeFrom;
+    this.#tokens -= sequence - engineCall.resumeFrom;
     if (response.destroyed || response.writableEnded) {
-      this.#record("cancelled", membership, wanted.requestId);
+      this.#record("cancelled", membership, engineCall.requestId);
       return;
     }
-    if (isBroken) {
+    if (isMemberMissing) {
       response.destroy();
       return;
     }
     const end = { sequence, text: "" };
-    response.end(`event: end\n${formatEvent(wanted, membership, end)}`);
-    this.#record("ended", membership, wanted.requestId);
+    response.end(`event: end\n${formatEvent(engineCall, membership, end)}`);
+    this.#record("ended", membership, engineCall.requestId);
   }
 
   get #tokenTime(): number {
@@ -288,7 +290,7 @@
     return this.#options.tokenTime + others * this.#options.batchTime;
   }
 
-  /** Whether every other member takes part. */
+  /** Whether every other member of the group takes part in the request. */
   async #areMembersPresent(
     membership: IMembership,
     requestId: string,
@@ -304,7 +306,7 @@
 
   #record(
     kind: IEngineLogEntry["kind"],
-    token: {
+    membership: {
       group: string;
       generation: number;
       epoch: number;
@@ -313,15 +315,18 @@
     wireId: string,
   ): void {
     const requestId = requestIdOf(wireId);
-    const { group, generation, epoch, members = [] } = token;
+    const { group, generation, epoch, members = [] } = membership;
     const at = Date.now();
-    const deed = { kind, at, group, generation, epoch, requestId, members };
-    this.#log.push(deed);
+    const entry = { kind, at, group, generation, epoch, requestId, members };
+    this.#log.push(entry);
   }
 }
 
-function closeResponse(response: ServerResponse, how: "reset" | "end"): void {
-  if (how === "end") {
+function closeResponse(
+  response: ServerResponse,
+  closing: "reset" | "end",
+): void {
+  if (closing === "end") {
     response.end();
   } else {
     response.destroy();
@@ -348,12 +353,12 @@
 }
 
 function formatEvent(
-  wanted: IEngineCall,
+  engineCall: IEngineCall,
   membership: IMembership,
   token: { readonly sequence: number; readonly text: string },
 ): string {
   const { group, generation } = membership;
-  const { requestId } = wanted;
+  const { requestId } = engineCall;
   const data = JSON.stringify({ requestId, group, generation, ...token });
   return `data: ${data}\n\n`;
 }
--- a/src/stand_ins/engine_member/main.ts
+++ b/src/stand_ins/engine_member/main.ts
@@ -1,4 +1,4 @@
-/** The engine member stand-in's own process. */
+/** Runs the engine member stand-in as a process of its own. */
 import { parseArgs } from "node:util";
 import { InstanceState, ServiceKind } from "../../common/types.ts";
 import { announceListening, exitOnSignal } from "../shared/program.ts";
--- a/src/stand_ins/engine_member/stream_fault_injector.ts
+++ b/src/stand_ins/engine_member/stream_fault_injector.ts
@@ -1,36 +1,39 @@
-/** Faults of an engine's stream, met at one token of the next answer. */
+/** Injects faults into an engine's token stream. */
 
-/** What goes wrong, told by `PUT /fault {fault}`. */
+/** Faults, set with `PUT /fault {fault}`. */
 export enum StreamFault {
   None = "none",
-  /** The connection is reset mid-way. */
+  /** Resets the connection in the middle of the answer. */
   Reset = "reset",
-  /** The answer ends mid-way, as if it were whole, without its end mark. */
+  /** Ends the answer as if it were complete, without its end event. */
   EndEarly = "end_early",
-  /** An event of another request comes in between. */
+  /** Inserts an event of another request. */
   ForeignEvent = "cross",
-  /** An event comes twice. */
+  /** Sends an event twice. */
   DuplicateEvent = "duplicate",
-  /** An event is left out. */
+  /** Leaves an event out. */
   MissingEvent = "gap",
-  /** An event that does not parse. */
+  /** Inserts an event that cannot be parsed. */
   MalformedEvent = "garble",
-  /** Refuses every new answer, as if leaving, and does not report it. */
+  /** Refuses calls as a leaving instance does, but does not report it. */
   Refuse = "refuse",
-  /** As {@link Reset}, for every answer from now on. */
+  /** Like {@link Reset}, for every answer from now on. */
   ResetAlways = "reset_always",
 }
 
-/** The token of an answer, counted over resumes, that meets the fault. */
+/** Index of the token that a fault affects, counted across resumes. */
 const FAULT_SEQUENCE = 5;
 
-/** An event as it is sent, and whether the answer breaks off after it. */
+/** The text sent in place of an event, and how the answer then closes. */
 export interface IFaultyEvent {
   readonly text: string;
   readonly closing: "no" | "reset" | "end";
 }
 
-/** The fault in force; each but the lasting one is met once. */
+/**
+ * Holds the active fault. It is cleared once an answer reaches the affected
+ * token, except for {@link StreamFault.ResetAlways}.
+ */
 export class StreamFaultInjector {
   #fault = StreamFault.None;
 
@@ -39,14 +42,14 @@
     return this.#fault === StreamFault.Refuse;
   }
 
-  /** Sets the fault by its name. */
+  /** Sets the fault by its name; an unknown name clears it. */
   set(name: unknown): void {
     this.#fault =
       Object.values(StreamFault).find((fault) => fault === name) ??
       StreamFault.None;
   }
 
-  /** An event as the fault in force changes it. */
+  /** Applies the active fault to an event. */
   apply(event: string, sequence: number, requestId: string): IFaultyEvent {
     if (this.#fault === StreamFault.ResetAlways && sequence >= FAULT_SEQUENCE) {
       return { text: "", closing: "reset" };
--- a/src/stand_ins/engine_member/text.ts
+++ b/src/stand_ins/engine_member/text.ts
@@ -1,4 +1,4 @@
-/** The deterministic text of the stand-in engine. */
+/** Generates the stand-in engine's deterministic text. */
 
 const WORDS: readonly string[] = [
   "river",
@@ -11,12 +11,13 @@
   "ledger",
 ];
 
+/** Offset basis and prime of the 32-bit FNV-1a hash. */
 const HASH_START = 2_166_136_261;
 const HASH_FACTOR = 16_777_619;
 
 /**
- * The text of one token. It depends on prompt and place only, so that a
- * stream resumed on another group goes on with the very same words.
+ * The text of one token. It depends only on the prompt and the token's index,
+ * so a stream resumed on another group continues with the same words.
  */
 export function tokenText(prompt: string, sequence: number): string {
   let hash = HASH_START;
@@ -28,7 +29,7 @@
   return sequence === 0 ? word : ` ${word}`;
 }
 
-/** The whole text of an answer. */
+/** The text of an answer with the given number of tokens. */
 export function wholeText(prompt: string, tokens: number): string {
   const parts = [];
   for (let sequence = 0; sequence < tokens; sequence++) {
--- a/src/stand_ins/engine_member/types.ts
+++ b/src/stand_ins/engine_member/types.ts
@@ -1,31 +1,31 @@
-/** What an engine member is told, and what it keeps of what it did. */
+/** Options of an engine member, and the entries of its log. */
 
-/** How an engine treats orders that carry an old fencing number. */
+/** How an engine treats old epochs in orders and wrong groups in calls. */
 export enum FencingMode {
   Refuse = "refuse",
   Ignore = "ignore",
 }
 
-/** Options of an engine member; times in milliseconds. */
+/** Times are in milliseconds. */
 export interface IEngineMemberOptions {
   readonly id: string;
   readonly fencing: FencingMode;
-  /** How long loading a model's weights takes. */
+  /** Time to load a model's weights. */
   readonly loadTime: number;
   readonly firstTokenTime: number;
-  /** Time between tokens with one request running. */
+  /** Time between tokens while one request runs. */
   readonly tokenTime: number;
-  /** Added to the time between tokens for each further request. */
+  /** Added to the time between tokens for each further running request. */
   readonly batchTime: number;
-  /** How old the load figures of a report are. */
+  /** Interval between updates of a report's load figures, given as `lag`. */
   readonly reportLag: number;
-  /** Time between the receipt of an order and acting on it. */
+  /** Time between receiving and executing an order. */
   readonly orderDelay: number;
-  /** Whether an order is dropped once its validity has passed. */
+  /** Whether an order is refused once its validity has expired. */
   readonly honoursValidity: boolean;
 }
 
-/** One thing an engine did, kept so that proofs can judge by it. */
+/** One event in an engine's log, which tests check after a run. */
 export interface IEngineLogEntry {
   readonly kind:
     | "joined"
@@ -42,6 +42,6 @@
   readonly generation: number;
   readonly epoch: number;
   readonly requestId: string;
-  /** Addresses of the group's members, of a request begun or ended. */
+  /** Addresses of the group's members; empty for `worked`. */
   readonly members: readonly string[];
 }
--- a/src/stand_ins/fault_proxy/fault_proxy.ts
+++ b/src/stand_ins/fault_proxy/fault_proxy.ts
@@ -1,35 +1,35 @@
-/** A TCP proxy that brings about the failures of a network. */
+/** A TCP proxy that injects network failures. */
 import { connect, createServer } from "node:net";
 import type { Server, Socket } from "node:net";
 import { listenOn, splitAddress } from "../../adapters/listen.ts";
 
-/** What happens to the bytes of a link. */
+/** What a link does with connections and their bytes. */
 export enum LinkMode {
   Pass = "pass",
-  /** Open connections are reset and new ones refused. */
+  /** Resets open connections and every new one. */
   Cut = "cut",
-  /** Connections are accepted, and nothing passes any more. */
+  /** Accepts connections and forwards nothing. */
   Silent = "silent",
-  /** Open connections go silent for good; new ones pass. */
+  /** Silences the open connections for good; new ones pass. */
   SilentExisting = "silent_old",
-  /** Requests pass; answers do not. */
+  /** Forwards requests but no answers. */
   DropAnswers = "no_answers",
-  /** Answers pass; requests do not. */
+  /** Forwards answers but no requests. */
   DropRequests = "no_requests",
-  /** The next answer is lost: its connection is reset in its place. */
+  /** Resets the connection of the next answer instead of forwarding it. */
   LoseAnswer = "lose_answer",
 }
 
-/** What happens to the next request that matches. */
+/** What happens to the next matching request. */
 export enum RequestFault {
-  /** It is kept back, with its connection, until released. */
+  /** Holds the request and its connection until released. */
   Hold = "hold",
-  /** It passes; its connection is reset in place of the answer. */
+  /** Forwards the request and resets its connection at the answer. */
   LoseAnswer = "lose_answer",
 }
 
 interface IPendingFault {
-  /** Text of the request, such as `POST /orders`. */
+  /** Text that the request contains, such as `POST /orders`. */
   readonly text: string;
   readonly fault: RequestFault;
 }
@@ -38,12 +38,12 @@
   readonly client: Socket;
   readonly target: Socket;
   isSilenced: boolean;
-  /** Bytes kept back; null while the connection is not held. */
+  /** Bytes held back; null while the connection is not held. */
   held: Buffer[] | null;
   losesAnswer: boolean;
 }
 
-/** One link: listens on a port of its own and passes on to one target. */
+/** One link: listens on its own port and forwards to one target. */
 export class FaultProxy {
   #target: string;
   readonly #server: Server;
@@ -52,7 +52,7 @@
   #delay = 0;
   #pendingFault: IPendingFault | null = null;
 
-  /** @param target - `host:port` that connections are passed on to */
+  /** @param target - `host:port` that connections are forwarded to */
   constructor(target: string) {
     this.#target = target;
     this.#server = createServer({ allowHalfOpen: true }, (client) =>
@@ -60,7 +60,7 @@
     );
   }
 
-  /** Passes new connections on to another address. */
+  /** Forwards new connections to another address. */
   setTarget(target: string): void {
     this.#target = target;
   }
@@ -74,8 +74,8 @@
     this.#delay = delay;
     this.#mode = mode;
     if (mode === LinkMode.SilentExisting) {
-      this.#connections.forEach((pair) => {
-        pair.isSilenced = true;
+      this.#connections.forEach((connection) => {
+        connection.isSilenced = true;
       });
       this.#mode = LinkMode.Pass;
     }
@@ -84,33 +84,33 @@
     }
   }
 
-  /** Brings a fault about at the next request that contains a text. */
+  /** Injects a fault at the next request that contains a text. */
   failNext(text: string, fault: RequestFault): void {
     this.#pendingFault = { text, fault };
   }
 
-  /** Takes back a fault that has not come about yet. */
+  /** Removes a fault that has not occurred yet. */
   clearPendingFault(): void {
     this.#pendingFault = null;
   }
 
-  /** Whether a fault asked for has not come about yet. */
+  /** Whether a fault is set that has not occurred yet. */
   get hasPendingFault(): boolean {
     return this.#pendingFault !== null;
   }
 
-  /** Passes on what was kept back, late as it is; its answer may be lost. */
+  /** Forwards held bytes even if their client is gone; may lose the answer. */
   releaseHeld(options: { readonly losesAnswer?: boolean } = {}): void {
-    for (const pair of this.#connections) {
-      if (pair.held !== null) {
-        pair.held.forEach((bytes) => pair.target.write(bytes));
-        pair.held = null;
-        pair.losesAnswer = options.losesAnswer ?? false;
+    for (const connection of this.#connections) {
+      if (connection.held !== null) {
+        connection.held.forEach((bytes) => connection.target.write(bytes));
+        connection.held = null;
+        connection.losesAnswer = options.losesAnswer ?? false;
       }
     }
   }
 
-  /** Connections open through this link. */
+  /** Number of connections open through this link. */
   get connectionCount(): number {
     return this.#connections.size;
   }
@@ -127,73 +127,73 @@
     }
     const { host, port } = splitAddress(this.#target);
     const target = connect({ host, port, allowHalfOpen: true });
-    const pair: IProxiedConnection = {
+    const connection: IProxiedConnection = {
       client,
       target,
       isSilenced: false,
       held: null,
       losesAnswer: false,
     };
-    this.#connections.add(pair);
-    client.on("data", (bytes) => this.#forwardToTarget(pair, bytes));
-    target.on("data", (bytes) => this.#forwardToClient(pair, bytes));
+    this.#connections.add(connection);
+    client.on("data", (bytes) => this.#forwardToTarget(connection, bytes));
+    target.on("data", (bytes) => this.#forwardToClient(connection, bytes));
     client.on("end", () => {
-      if (pair.held === null && !this.#isSilent(pair)) {
+      if (connection.held === null && !this.#isSilent(connection)) {
         target.end();
       }
     });
     target.on("end", () => {
-      if (!this.#isSilent(pair)) {
+      if (!this.#isSilent(connection)) {
         client.end();
       }
     });
     for (const socket of [client, target]) {
-      socket.on("error", () => this.#handleClose(pair));
-      socket.on("close", () => this.#handleClose(pair));
+      socket.on("error", () => this.#handleClose(connection));
+      socket.on("close", () => this.#handleClose(connection));
     }
   }
 
-  #forwardToTarget(pair: IProxiedConnection, bytes: Buffer): void {
-    this.#triggerFault(pair, bytes);
-    if (pair.held !== null) {
-      pair.held.push(bytes);
+  #forwardToTarget(connection: IProxiedConnection, bytes: Buffer): void {
+    this.#triggerFault(connection, bytes);
+    if (connection.held !== null) {
+      connection.held.push(bytes);
       return;
     }
-    if (!this.#isSilent(pair) && this.#mode !== LinkMode.DropRequests) {
-      this.#sendDelayed(() => pair.target.write(bytes));
+    if (!this.#isSilent(connection) && this.#mode !== LinkMode.DropRequests) {
+      this.#sendDelayed(() => connection.target.write(bytes));
     }
   }
 
-  #triggerFault(pair: IProxiedConnection, bytes: Buffer): void {
-    const next = this.#pendingFault;
-    if (next === null || !bytes.includes(next.text)) {
+  #triggerFault(connection: IProxiedConnection, bytes: Buffer): void {
+    const pending = this.#pendingFault;
+    if (pending === null || !bytes.includes(pending.text)) {
       return;
     }
     this.#pendingFault = null;
-    if (next.fault === RequestFault.Hold) {
-      pair.held = [];
+    if (pending.fault === RequestFault.Hold) {
+      connection.held = [];
     } else {
-      pair.losesAnswer = true;
+      connection.losesAnswer = true;
     }
   }
 
-  #forwardToClient(pair: IProxiedConnection, bytes: Buffer): void {
-    if (pair.losesAnswer) {
-      reset(pair);
+  #forwardToClient(connection: IProxiedConnection, bytes: Buffer): void {
+    if (connection.losesAnswer) {
+      reset(connection);
       return;
     }
     if (this.#mode === LinkMode.LoseAnswer) {
       this.#mode = LinkMode.Pass;
-      reset(pair);
+      reset(connection);
       return;
     }
-    if (!this.#isSilent(pair) && this.#mode !== LinkMode.DropAnswers) {
-      this.#sendDelayed(() => pair.client.write(bytes));
+    if (!this.#isSilent(connection) && this.#mode !== LinkMode.DropAnswers) {
+      this.#sendDelayed(() => connection.client.write(bytes));
     }
   }
 
-  #isSilent(pair: IProxiedConnection): boolean {
-    return pair.isSilenced || this.#mode === LinkMode.Silent;
+  #isSilent(connection: IProxiedConnection): boolean {
+    return connection.isSilenced || this.#mode === LinkMode.Silent;
   }
 
   #sendDelayed(send: () => void): void {
@@ -204,18 +204,18 @@
     }
   }
 
-  #handleClose(pair: IProxiedConnection): void {
-    if (pair.held !== null) {
+  #handleClose(connection: IProxiedConnection): void {
+    if (connection.held !== null) {
       return;
     }
-    this.#connections.delete(pair);
-    if (!this.#isSilent(pair)) {
-      reset(pair);
+    this.#connections.delete(connection);
+    if (!this.#isSilent(connection)) {
+      reset(connection);
     }
   }
 }
 
-function reset(pair: IProxiedConnection): void {
-  pair.client.resetAndDestroy();
-  pair.target.resetAndDestroy();
+function reset(connection: IProxiedConnection): void {
+  connection.client.resetAndDestroy();
+  connection.target.resetAndDestroy();
 }
--- a/src/stand_ins/fault_proxy/main.ts
+++ b/src/stand_ins/fault_proxy/main.ts
@@ -1,4 +1,4 @@
-/** The fault proxy's own process: links are made and changed over HTTP. */
+/** Runs the fault proxy as a process; links are created and set over HTTP. */
 import { parseArgs } from "node:util";
 import { JsonServer, okAnswer, errorAnswer } from "../shared/json_server.ts";
 import type { IJsonAnswer, IJsonRequest } from "../shared/json_server.ts";
@@ -11,7 +11,7 @@
 
 const links = new Map<string, FaultProxy>();
 
-/** `POST /links {target}` makes a link; `PUT /links/NAME {mode, delay}`. */
+/** Handles `POST /links {target}` and `PUT /links/ADDRESS {mode, delay}`. */
 async function handle(request: IJsonRequest): Promise<IJsonAnswer> {
   const body = request.body as Record<string, unknown> | null;
   const name = request.parts[1];
--- a/src/stand_ins/object_api/main.ts
+++ b/src/stand_ins/object_api/main.ts
@@ -1,4 +1,4 @@
-/** The object API stand-in's own process. */
+/** Runs the object API stand-in as a process of its own. */
 import { parseArgs } from "node:util";
 import { announceListening, exitOnSignal } from "../shared/program.ts";
 import { ObjectApiServer } from "./object_api_server.ts";
--- a/src/stand_ins/object_api/object_api_server.ts
+++ b/src/stand_ins/object_api/object_api_server.ts
@@ -1,4 +1,4 @@
-/** The platform's object API and instance list, as a stand-in. */
+/** Stand-in for the platform's object API and instance list. */
 import type { IPlatformObject } from "../../common/services/services.ts";
 import type { IInstance } from "../../common/types.ts";
 import { JsonServer, okAnswer, errorAnswer } from "../shared/json_server.ts";
@@ -13,18 +13,18 @@
 const STATUS_CONFLICT = 412;
 const STATUS_TOO_LARGE = 413;
 const STATUS_TOO_MANY = 429;
+/** Longest time that a watch waits for a change, milliseconds. */
 const MAXIMUM_WATCH = 60_000;
 
-/** Calls taken so far, by kind of call and of object. */
+/** Number of calls received, by method, path and kind of object. */
 export type CallCounts = Readonly<Record<string, number>>;
 
-/** Options of the stand-in. */
 export interface IObjectApiOptions {
-  /** How far the instance list lags behind, milliseconds. */
+  /** Milliseconds until a change appears in the instance list. */
   readonly instanceLag: number;
 }
 
-/** Serves an {@link ObjectStore} and a lagging list of instances. */
+/** Serves an {@link ObjectStore} and an instance list that lags behind. */
 export class ObjectApiServer {
   readonly #options: IObjectApiOptions;
   readonly #store = new ObjectStore();
@@ -137,18 +137,18 @@
     kind: string,
   ): Promise<IJsonAnswer> {
     const after = Number(request.query.get("after") ?? 0);
-    const asked = Number(request.query.get("timeout_ms") ?? 0);
-    const until = Date.now() + Math.min(asked, MAXIMUM_WATCH);
+    const timeout = Number(request.query.get("timeout_ms") ?? 0);
+    const deadline = Date.now() + Math.min(timeout, MAXIMUM_WATCH);
     let objects = this.#changes(kind, after);
-    while (objects.length === 0 && Date.now() < until) {
-      await this.#store.waitForWrite(until - Date.now());
+    while (objects.length === 0 && Date.now() < deadline) {
+      await this.#store.waitForWrite(deadline - Date.now());
       objects = this.#changes(kind, after);
     }
     const version = Math.max(after, ...objects.map((object) => object.version));
     return okAnswer({ version, objects });
   }
 
-  /** Changes after a version; with late events the older state comes last. */
+  /** Changes after a version; late events append each object's older state. */
   #changes(kind: string, after: number): readonly IPlatformObject[] {
     const asOf = this.#faults.staleVersion(kind);
     const objects = this.#store.changedAfter(kind, after, asOf);
@@ -162,7 +162,7 @@
     return [...objects, ...late];
   }
 
-  /** Answers with the list; without a body if the asker holds it. */
+  /** Answers with the instance list, or with 304 if the caller has it. */
   #handleInstanceCall(request: IJsonRequest, id: string): IJsonAnswer | null {
     if (request.method === "PUT") {
       this.#instances.set(id, request.body as IInstance);
@@ -171,9 +171,9 @@
       this.#instances.delete(id);
       this.#schedulePublication();
     }
-    const tag = `"${this.#publishedVersion}"`;
-    request.response.setHeader("etag", tag);
-    if (request.headers["if-none-match"] === tag) {
+    const etag = `"${this.#publishedVersion}"`;
+    request.response.setHeader("etag", etag);
+    if (request.headers["if-none-match"] === etag) {
       request.response.writeHead(STATUS_NOT_MODIFIED).end();
       return null;
     }
@@ -181,15 +181,15 @@
   }
 
   #schedulePublication(): void {
-    const now = [...this.#instances.values()];
+    const instances = [...this.#instances.values()];
     setTimeout(() => {
-      this.#publishedInstances = now;
+      this.#publishedInstances = instances;
       this.#publishedVersion += 1;
     }, this.#options.instanceLag);
   }
 
-  #count(key: string, by: number): void {
-    this.#counts.set(key, (this.#counts.get(key) ?? 0) + by);
+  #count(key: string, amount: number): void {
+    this.#counts.set(key, (this.#counts.get(key) ?? 0) + amount);
   }
 }
 
--- a/src/stand_ins/object_api/object_store.ts
+++ b/src/stand_ins/object_api/object_store.ts
@@ -1,22 +1,22 @@
-/** Versioned objects with conditional updates and watches, in memory. */
+/** In-memory store of versioned objects with conditional writes and watches. */
 import type { IPlatformObject } from "../../common/services/services.ts";
 
-/** The platform's bound on a value, in bytes. */
+/** The platform's limit on the size of a value. */
 export const MAXIMUM_VALUE_BYTES = 1_000_000;
 
-/** What came of a conditional write. */
+/** Result of a conditional write or removal. */
 export type WriteResult =
   | { readonly kind: "written"; readonly version: number }
   | { readonly kind: "conflict"; readonly version: number | null };
 
-/** One write or removal; null is a removal. */
+/** One write, or a removal where the object is null. */
 interface IChange {
   readonly version: number;
   readonly key: string;
   readonly object: IPlatformObject | null;
 }
 
-/** Holds objects; each write to any of them raises the version. */
+/** Holds objects under one version that every change increments. */
 export class ObjectStore {
   #version = 0;
   #objects = new Map<string, IPlatformObject>();
@@ -34,7 +34,7 @@
   /**
    * Objects of a kind changed after a version, oldest change first.
    *
-   * @param asOf - answer as the store was at this version; now if absent
+   * @param asOf - version at which the store is read; the latest if absent
    */
   changedAfter(
     kind: string,
@@ -46,7 +46,7 @@
       .sort((left, right) => left.version - right.version);
   }
 
-  /** @param expected - version it must be at; null: it must not exist */
+  /** @param expected - version to replace; null if it must not exist yet */
   write(
     object: Omit<IPlatformObject, "version">,
     expected: number | null,
@@ -72,7 +72,7 @@
     return { kind: "written", version: this.#version };
   }
 
-  /** Goes back to what was at a version, as a restore from a copy does. */
+  /** Reverts the store to a version, as restoring a backup does. */
   restore(version: number): void {
     this.#objects = new Map(this.#stateAt(version));
     this.#history = this.#history.filter((change) => change.version <= version);
@@ -80,14 +80,14 @@
     this.#notifyWaiting();
   }
 
-  /** The version of an object before its last change, or null. */
+  /** An object as it was before its last change, or null. */
   stateBeforeLastChange(kind: string, name: string): IPlatformObject | null {
     const key = keyOf(kind, name);
     const changes = this.#history.filter((change) => change.key === key);
     return changes.at(-2)?.object ?? null;
   }
 
-  /** Resolves at the next write, or after a time in milliseconds. */
+  /** Resolves at the next change, or after a timeout in milliseconds. */
   waitForWrite(timeout: number): Promise<void> {
     return new Promise((resolve) => {
       const done = () => {
--- a/src/stand_ins/object_api/platform_faults.ts
+++ b/src/stand_ins/object_api/platform_faults.ts
@@ -1,22 +1,23 @@
-/** Faults of the platform itself, as opposed to those of the way to it. */
+/** Faults of the platform itself, as opposed to the network in front of it. */
 
-/** What `PUT /control` takes; what is absent stays as it is. */
+/** Body of `PUT /control`; absent fields leave their fault unchanged. */
 export interface IFaultControl {
-  /** Reads of these kinds are answered as of a version; null ends it. */
+  /** Versions as of which reads of a kind are answered; null ends it. */
   readonly stale?: Readonly<Record<string, number | null>>;
-  /** Kinds whose watches bring an object's older state after its newer. */
+  /** Kinds whose watches send an object's older state after its newer one. */
   readonly late_events?: readonly string[];
-  /** Milliseconds added to each answer about objects. */
+  /** Milliseconds by which answers about objects are delayed. */
   readonly delay_ms?: number;
-  /** Calls a second beyond which calls are refused; 0 is no limit. */
+  /** Calls per second above which calls are refused; 0 for no limit. */
   readonly calls_per_second?: number;
-  /** Puts the whole store back to what it was at a version. */
+  /** Version to which the whole store is reverted. */
   readonly restore?: number;
 }
 
+/** Milliseconds over which calls are counted. */
 const RATE_WINDOW = 1_000;
 
-/** Which faults are on, and the calls that count toward the rate. */
+/** Holds the active faults and counts calls for the rate limit. */
 export class PlatformFaults {
   readonly #stale = new Map<string, number>();
   #lateEvents: readonly string[] = [];
@@ -38,7 +39,7 @@
     this.#callsPerSecond = control.calls_per_second ?? this.#callsPerSecond;
   }
 
-  /** The version that reads of a kind are answered as of, if stale. */
+  /** Version as of which reads of a kind are answered, if they are stale. */
   staleVersion(kind: string): number | undefined {
     return this.#stale.get(kind);
   }
@@ -47,7 +48,7 @@
     return this.#lateEvents.includes(kind);
   }
 
-  /** Counts a call; true when it is over the rate and must be refused. */
+  /** Counts a call; true if it exceeds the rate limit and must be refused. */
   isOverRate(now: number): boolean {
     if (now - this.#windowStart >= RATE_WINDOW) {
       this.#windowStart = now;
@@ -58,7 +59,7 @@
     return limit > 0 && this.#callsInWindow > limit;
   }
 
-  /** Resolves after the time by which answers are slowed. */
+  /** Waits for the time by which answers are delayed. */
   async waitDelay(): Promise<void> {
     if (this.#delay > 0) {
       await new Promise((resolve) => setTimeout(resolve, this.#delay));
--- a/src/stand_ins/plain_service/call_fault_injector.ts
+++ b/src/stand_ins/plain_service/call_fault_injector.ts
@@ -1,25 +1,25 @@
-/** Faults that a plain service is told to meet, one call after another. */
+/** Injects faults into the calls of a plain service. */
 
-/** What happens to a call, told by `PUT /fault {fault}`. */
+/** Faults, set with `PUT /fault {fault}` and active until another is set. */
 export enum CallFault {
   None = "none",
-  /** Waits before acting, until another fault is set. */
+  /** Waits before running the call, until another fault is set. */
   PauseBeforeRun = "pause_before",
-  /** Acts, then waits before answering, until another fault is set. */
+  /** Runs the call, then waits until another fault is set. */
   PauseAfterRun = "pause_after",
-  /** The process dies before acting. */
+  /** Kills the process before it runs the call. */
   CrashBeforeRun = "die_before",
-  /** The process dies after acting, before answering. */
+  /** Kills the process after it ran the call, before it answers. */
   CrashAfterRun = "die_after",
-  /** Acts, and its connection breaks in place of the answer. */
+  /** Runs the call and breaks the connection instead of answering. */
   LoseAnswer = "lose_answer",
-  /** Answers with another request's id. */
+  /** Runs the call and answers with the id of another request. */
   ForeignAnswer = "cross_answer",
-  /** Answers as leaving, without acting and without reporting it. */
+  /** Refuses calls as a leaving instance does, but does not report it. */
   Refuse = "refuse",
 }
 
-/** Where in a call a fault is met. */
+/** Points in a call at which faults occur. */
 export enum CallPoint {
   BeforeRun = "before",
   AfterRun = "after",
@@ -35,7 +35,7 @@
   [CallPoint.AfterRun]: CallFault.CrashAfterRun,
 };
 
-/** The fault in force, and the calls that wait in it. */
+/** Holds the active fault and the calls that it pauses. */
 export class CallFaultInjector {
   #fault = CallFault.None;
   readonly #waiting = new Set<() => void>();
@@ -44,23 +44,23 @@
     return this.#fault;
   }
 
-  /** Calls held at a pause. */
+  /** Number of calls paused now. */
   get pausedCalls(): number {
     return this.#waiting.size;
   }
 
-  /** Sets a fault by its name and lets paused calls go on. */
+  /** Sets the fault by its name, else none, and resumes paused calls. */
   set(name: unknown): void {
     this.#fault =
       Object.values(CallFault).find((fault) => fault === name) ??
       CallFault.None;
-    for (const goOn of this.#waiting) {
-      goOn();
+    for (const resume of this.#waiting) {
+      resume();
     }
     this.#waiting.clear();
   }
 
-  /** Meets the fault in force at a point of a call, if it is one for there. */
+  /** Applies the active fault if it occurs at this point of a call. */
   async applyAt(point: CallPoint): Promise<void> {
     if (this.#fault === CRASHES[point]) {
       process.kill(process.pid, "SIGKILL");
--- a/src/stand_ins/plain_service/plain_service.ts
+++ b/src/stand_ins/plain_service/plain_service.ts
@@ -1,4 +1,4 @@
-/** A plain service, as a stand-in that keeps a record of what it ran. */
+/** Stand-in for a plain service that logs the calls it runs. */
 import { randomUUID } from "node:crypto";
 import type { ServerResponse } from "node:http";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -17,11 +17,11 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_UNAVAILABLE = 503;
 
-/** Options of a plain service; times in milliseconds. */
+/** Times are in milliseconds. */
 export interface IPlainServiceOptions {
   readonly id: string;
   readonly workTime: number;
-  /** File that keeps the record beyond the process; empty for none. */
+  /** File that keeps the run log across restarts; empty for none. */
   readonly recordFile?: string;
 }
 
@@ -31,7 +31,7 @@
   readonly body: unknown;
 }
 
-/** One instance of a plain service. */
+/** Simulates one instance of a plain service. */
 export class PlainService {
   readonly #options: IPlainServiceOptions;
   readonly #incarnation = randomUUID();
@@ -77,7 +77,7 @@
   }
 
   async #handleCall(
-    wanted: ICallBody,
+    call: ICallBody,
     response: ServerResponse,
   ): Promise<IJsonAnswer | null> {
     const isRefusing = this.#faults.fault === CallFault.Refuse;
@@ -87,27 +87,32 @@
     this.#running += 1;
     await this.#faults.applyAt(CallPoint.BeforeRun);
     await sleep(this.#options.workTime);
-    const number = this.#run(wanted);
+    const number = this.#run(call);
     await this.#faults.applyAt(CallPoint.AfterRun);
     this.#running -= 1;
     if (this.#faults.fault === CallFault.LoseAnswer) {
       response.destroy();
       return null;
     }
-    const { requestId, operation, body } = wanted;
+    const { requestId, operation, body } = call;
     const answer = { operation, done: true, by: this.#options.id, number };
-    const isCrossed = this.#faults.fault === CallFault.ForeignAnswer;
-    const named = isCrossed ? randomUUID() : requestId;
+    const isForeign = this.#faults.fault === CallFault.ForeignAnswer;
+    const answeredId = isForeign ? randomUUID() : requestId;
     return okAnswer({
-      requestId: named,
+      requestId: answeredId,
       answer: { ...answer, ...paddingOf(body) },
     });
   }
 
-  /** Runs the call; returns how many have run. */
+  /** Runs a call and returns the number of calls run so far. */
   #run({ requestId, operation, body }: ICallBody): number {
-    const caller = requestIdOf(requestId);
-    this.#runLog.append({ requestId: caller, operation, body, at: Date.now() });
+    const callerRequestId = requestIdOf(requestId);
+    this.#runLog.append({
+      requestId: callerRequestId,
+      operation,
+      body,
+      at: Date.now(),
+    });
     return this.#runLog.entries.length;
   }
 
@@ -126,7 +131,7 @@
   }
 }
 
-/** A body may ask for an answer of a size, as `{pad: BYTES}`. */
+/** `{pad: BYTES}` in a body adds padding of that size to the answer. */
 function paddingOf(body: unknown): object {
   const { pad } = (body ?? {}) as { pad?: unknown };
   return typeof pad === "number" ? { padding: "x".repeat(pad) } : {};
--- a/src/stand_ins/plain_service/run_log.ts
+++ b/src/stand_ins/plain_service/run_log.ts
@@ -1,7 +1,7 @@
-/** What a plain service ran, kept so that proofs can judge by it. */
+/** Log of the calls that a plain service ran, checked by tests after a run. */
 import { appendFileSync, existsSync, readFileSync } from "node:fs";
 
-/** One run. */
+/** One call that ran. */
 export interface IRunLogEntry {
   readonly requestId: string;
   readonly operation: string;
@@ -9,12 +9,12 @@
   readonly at: number;
 }
 
-/** The runs so far; with a file, also those of earlier processes. */
+/** The calls run so far; with a file, also those of earlier processes. */
 export class RunLog {
   readonly #file: string;
   readonly #entries: IRunLogEntry[] = [];
 
-  /** @param file - path to keep runs in, a line each; empty for none */
+  /** @param file - path of the log, one line per call; empty for none */
   constructor(file: string) {
     this.#file = file;
     if (file !== "" && existsSync(file)) {
@@ -27,11 +27,11 @@
     return this.#entries;
   }
 
-  /** Keeps a run before anything else can happen to the process. */
-  append(run: IRunLogEntry): void {
-    this.#entries.push(run);
+  /** Writes synchronously, so that the entry survives a crash right after. */
+  append(entry: IRunLogEntry): void {
+    this.#entries.push(entry);
     if (this.#file !== "") {
-      appendFileSync(this.#file, `${JSON.stringify(run)}\n`);
+      appendFileSync(this.#file, `${JSON.stringify(entry)}\n`);
     }
   }
 }
--- a/src/stand_ins/shared/json_server.ts
+++ b/src/stand_ins/shared/json_server.ts
@@ -1,16 +1,16 @@
-/** A small JSON-over-HTTP server for the stand-ins. */
+/** A small JSON-over-HTTP server shared by the stand-ins. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { listenOn } from "../../adapters/listen.ts";
 import { readBody } from "../../adapters/callers/read_body.ts";
 
-/** Larger than the platform's bound, so that the stand-in checks it itself. */
+/** Above the platform's limit, so that the object API checks that itself. */
 const MAXIMUM_BODY_BYTES = 4_000_000;
 
-/** A request as the handlers see it. */
+/** A parsed request. */
 export interface IJsonRequest {
   readonly method: string;
-  /** Path split at slashes, each part decoded. */
+  /** Decoded segments of the path. */
   readonly parts: readonly string[];
   readonly query: URLSearchParams;
   readonly headers: IncomingMessage["headers"];
@@ -18,18 +18,17 @@
   readonly response: ServerResponse;
 }
 
-/** A JSON answer, or null when the handler has written one itself. */
 export interface IJsonAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Answers one request. */
+/** Answers one request; null if it wrote the response itself. */
 export type JsonHandler = (
   request: IJsonRequest,
 ) => Promise<IJsonAnswer | null> | IJsonAnswer | null;
 
-/** Serves one handler for all paths. */
+/** Passes the requests to all paths to one handler. */
 export class JsonServer {
   readonly #handler: JsonHandler;
   readonly #server: Server;
@@ -41,7 +40,7 @@
     );
   }
 
-  /** Listens on `host:port` and returns the address taken. */
+  /** Listens on `host:port` and returns the bound address. */
   listen(address: string): Promise<string> {
     return listenOn(this.#server, address);
   }
@@ -75,12 +74,11 @@
   }
 }
 
-/** A 200 answer. */
 export function okAnswer(body: unknown): IJsonAnswer {
   return { status: 200, body };
 }
 
-/** An answer that nothing was done. */
+/** An answer that says why the request was not carried out. */
 export function errorAnswer(status: number, error: string): IJsonAnswer {
   return { status, body: { error } };
 }
--- a/src/stand_ins/shared/program.ts
+++ b/src/stand_ins/shared/program.ts
@@ -1,6 +1,6 @@
-/** What the stand-ins' mains share: saying where they listen, and stopping. */
+/** Shared by the stand-ins' main modules: start line and signal handling. */
 
-/** Writes the line that whoever started the program waits for. */
+/** Writes the line for which the process that started this one waits. */
 export function announceListening(
   fields: Readonly<Record<string, string>>,
 ): void {
@@ -8,7 +8,7 @@
   process.stdout.write(`event=listening ${pairs.join(" ")}\n`);
 }
 
-/** Exits on the usual signals. */
+/** Exits with status 0 on SIGTERM and SIGINT. */
 export function exitOnSignal(): void {
   process.on("SIGTERM", () => process.exit(0));
   process.on("SIGINT", () => process.exit(0));
--- a/src/stand_ins/shared/register.ts
+++ b/src/stand_ins/shared/register.ts
@@ -1,4 +1,4 @@
-/** Puts a target on the platform's list of instances. */
+/** Adds an instance to the platform's instance list. */
 import { request } from "undici";
 import type { IInstance } from "../../common/types.ts";
 
