--- a/src/load_tool/arrivals.ts
+++ b/src/load_tool/arrivals.ts
@@ -1,7 +1,7 @@
 /**
- * Decides every request of a run beforehand, from the profile and its seed.
- * Arrivals do not wait for answers: a tool that did would ask less of a slow
- * system and so hide the very waits it is to measure.
+ * Plans every request of a run in advance, from the profile and its seed.
+ * The load is open-loop: a tool that waited for answers would send less to a
+ * slow system and so hide the delays that it measures.
  */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
@@ -9,12 +9,12 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Sizes are cut at this many times the ordinary one. */
+/** Random sizes are capped at this multiple of their mean. */
 const LARGEST_SIZE_FACTOR = 8;
 
 const PREFIX_WORDS = 20;
 
-/** All requests of a profile, in order of time. */
+/** All requests of a profile, ordered by time. */
 export function planArrivals(profile: ILoadProfile): readonly IArrival[] {
   const arrivals = profile.streams.flatMap((stream, index) =>
     new StreamPlanner(stream, profile.seed + index).plan(profile.duration),
@@ -22,7 +22,7 @@
   return arrivals.sort((left, right) => left.at - right.at);
 }
 
-/** Plans one stream with chance of its own, so that streams do not interfere. */
+/** Plans one stream with its own generator, independently of other streams. */
 class StreamPlanner {
   readonly #stream: ILoadStream;
   readonly #generator;
@@ -36,15 +36,15 @@
 
   plan(duration: number): IArrival[] {
     const arrivals: IArrival[] = [];
-    const fastest = this.#peakRate();
-    let at = this.#interarrivalTime(fastest);
+    const peakRate = this.#peakRate();
+    let at = this.#interarrivalTime(peakRate);
     while (at < duration) {
-      // Thinning: candidates come at the fastest rate and are kept in
-      // proportion to the rate at their moment.
-      if (this.#uniform() * fastest < this.#rateAt(at)) {
+      // Thinning: candidates arrive at the peak rate and are accepted in
+      // proportion to the rate at their time.
+      if (this.#uniform() * peakRate < this.#rateAt(at)) {
         arrivals.push(this.#createArrival(at, arrivals.length));
       }
-      at += this.#interarrivalTime(fastest);
+      at += this.#interarrivalTime(peakRate);
     }
     return arrivals;
   }
@@ -85,14 +85,14 @@
     return rate * Math.max(1, ...bursts.map(({ factor }) => factor));
   }
 
-  /** Time to the next candidate, exponentially distributed. */
+  /** Milliseconds to the next candidate, exponentially distributed. */
   #interarrivalTime(rate: number): number {
     return (this.#exponential() * MILLISECONDS_PER_SECOND) / rate;
   }
 
-  #randomSize(ordinary: number): number {
+  #randomSize(mean: number): number {
     const factor = Math.min(this.#exponential(), LARGEST_SIZE_FACTOR);
-    return Math.max(1, Math.round(ordinary * factor));
+    return Math.max(1, Math.round(mean * factor));
   }
 
   #exponential(): number {
--- a/src/load_tool/arrivals_test.ts
+++ b/src/load_tool/arrivals_test.ts
@@ -1,4 +1,4 @@
-/** The planned load is the same for the same seed and has the asked shape. */
+/** Guards against load that is not repeatable or misses the profile's rates. */
 import { expect } from "chai";
 import { planArrivals } from "./arrivals.ts";
 import { checkProfile } from "./profile.ts";
@@ -31,7 +31,7 @@
     expect(planArrivals(profile())).to.deep.equal(planArrivals(profile()));
   });
 
-  it("keeps the asked rates, in and out of a burst", () => {
+  it("matches the profile's rates inside and outside a burst", () => {
     const arrivals = planArrivals(profile());
     const steady = arrivals.filter(({ stream }) => stream.name === "steady");
     const bursting = arrivals.filter(({ stream }) => stream.name !== "steady");
@@ -43,7 +43,7 @@
     expect(keys.size).to.equal(bursting.length);
   });
 
-  it("reports a profile's findings with their places", () => {
+  it("reports the line and path of each finding in a profile", () => {
     const wrong = PROFILE.replace("rate: 50", "rate: -1").replace("2s", "2");
     const findings = checkProfile("profile", wrong).unwrapErr();
     const places = findings.map(({ line, path }) => `${line} ${path}`);
--- a/src/load_tool/main.ts
+++ b/src/load_tool/main.ts
@@ -12,7 +12,7 @@
 
 const EXIT_FINDINGS = 2;
 
-/** Sends all requests at their times and prints what became of them. */
+/** Sends all requests when they are due and prints a summary of the results. */
 class LoadCommand extends Command {
   static override usage = Command.Usage({
     description: "send a load profile and report what callers got",
@@ -40,14 +40,14 @@
   }
 }
 
-/** Starts each request when it is due, whatever the others do. */
+/** Starts each request when it is due, without waiting for the others. */
 async function sendAll(
   arrivals: readonly IArrival[],
   sender: Sender,
 ): Promise<LoadSummary> {
   const summary = new LoadSummary();
   const started = performance.now();
-  const open: Promise<void>[] = [];
+  const pending: Promise<void>[] = [];
   for (const arrival of arrivals) {
     const due = started + arrival.at;
     const wait = due - performance.now();
@@ -55,9 +55,9 @@
       await sleep(wait);
     }
     const sent = sender.send(arrival, due);
-    open.push(sent.then((result) => summary.add(result)));
+    pending.push(sent.then((result) => summary.add(result)));
   }
-  await Promise.all(open);
+  await Promise.all(pending);
   return summary;
 }
 
--- a/src/load_tool/profile.ts
+++ b/src/load_tool/profile.ts
@@ -1,4 +1,4 @@
-/** Reads a load profile: a YAML file, checked whole before anything is sent. */
+/** Reads a load profile, a YAML file checked in full before sending starts. */
 import { readFileSync } from "node:fs";
 import { Err } from "ts-results-es";
 import type { Result } from "ts-results-es";
@@ -8,7 +8,7 @@
 import type { IFinding } from "../common/plans/types.ts";
 import type { ILoadProfile } from "./types.ts";
 
-/** The fastest a single tool may send, requests a second. */
+/** Highest rate that one tool may send, in requests per second. */
 const LARGEST_RATE = 20_000;
 
 const burstSchema = z.strictObject({
@@ -53,7 +53,7 @@
     })),
   }));
 
-/** Checks a profile, reporting every finding with its place. */
+/** Checks a profile and reports every finding with its line and path. */
 export function checkProfile(
   source: string,
   text: string,
@@ -63,7 +63,7 @@
   );
 }
 
-/** Reads and checks a profile's file. */
+/** Reads and checks a profile file. */
 export function readProfile(
   path: string,
 ): Result<ILoadProfile, readonly IFinding[]> {
--- a/src/load_tool/sender.ts
+++ b/src/load_tool/sender.ts
@@ -1,10 +1,10 @@
-/** Sends one request and reads its answer as a caller would. */
+/** Sends requests and measures their answers as a caller sees them. */
 import { createParser } from "eventsource-parser";
 import { performance } from "node:perf_hooks";
 import { Agent, request } from "undici";
 import type { IArrival, ILoadResult } from "./types.ts";
 
-/** Silence after which the tool itself gives a request up, milliseconds. */
+/** Milliseconds without data after which the tool abandons a request. */
 const IDLE_TIMEOUT = 60_000;
 
 interface IMeasuredAnswer {
@@ -14,7 +14,7 @@
   readonly gaps: number[];
 }
 
-/** Sends to several entry addresses in turn. */
+/** Sends requests to several entry addresses in turn. */
 export class Sender {
   readonly #addresses: readonly string[];
   readonly #agent = new Agent({
@@ -27,25 +27,25 @@
     this.#addresses = addresses;
   }
 
-  /** @param due - when the request was due, on this process's clock */
+  /** @param due - when the request was due, by `performance.now()` */
   async send(arrival: IArrival, due: number): Promise<ILoadResult> {
-    const reading: IMeasuredAnswer = {
+    const measured: IMeasuredAnswer = {
       outcome: "reset",
       reason: "",
       firstByte: 0,
       gaps: [],
     };
     try {
-      await this.#sendRequest(arrival, due, reading);
+      await this.#sendRequest(arrival, due, measured);
     } catch (error) {
-      reading.outcome = "reset";
-      reading.reason = error instanceof Error ? error.name : "";
+      measured.outcome = "reset";
+      measured.reason = error instanceof Error ? error.name : "";
     }
     const total = performance.now() - due;
-    const isCompleted = reading.outcome === "completed";
+    const isCompleted = measured.outcome === "completed";
     return {
       stream: arrival.stream.name,
-      ...reading,
+      ...measured,
       total,
       onTime: isCompleted && total <= arrival.stream.deadline,
     };
@@ -58,7 +58,7 @@
   async #sendRequest(
     arrival: IArrival,
     due: number,
-    reading: IMeasuredAnswer,
+    measured: IMeasuredAnswer,
   ): Promise<void> {
     const answer = await request(this.#url(arrival), {
       method: "POST",
@@ -72,16 +72,16 @@
     });
     const type = String(answer.headers["content-type"]);
     if (type.startsWith("text/event-stream")) {
-      await readEvents(answer.body, due, reading);
+      await readEvents(answer.body, due, measured);
       return;
     }
     const body = (await answer.body.json()) as {
       outcome?: string;
       reason?: string;
     };
-    reading.firstByte = performance.now() - due;
-    reading.outcome = body.outcome ?? "reset";
-    reading.reason = body.reason ?? "";
+    measured.firstByte = performance.now() - due;
+    measured.outcome = body.outcome ?? "reset";
+    measured.reason = body.reason ?? "";
   }
 
   #url(arrival: IArrival): string {
@@ -91,26 +91,26 @@
   }
 }
 
-/** Only the end mark makes a stream a whole answer. */
+/** A streamed answer is complete only once its end event arrives. */
 async function readEvents(
   body: AsyncIterable<Buffer>,
   due: number,
-  reading: IMeasuredAnswer,
+  measured: IMeasuredAnswer,
 ): Promise<void> {
-  let last = 0;
+  let lastEventAt = 0;
   const parser = createParser({
     onEvent: (event) => {
       if (event.event === "end") {
-        reading.outcome = "completed";
+        measured.outcome = "completed";
         return;
       }
       const now = performance.now();
-      if (last === 0) {
-        reading.firstByte = now - due;
+      if (lastEventAt === 0) {
+        measured.firstByte = now - due;
       } else {
-        reading.gaps.push(now - last);
+        measured.gaps.push(now - lastEventAt);
       }
-      last = now;
+      lastEventAt = now;
     },
   });
   const decoder = new TextDecoder();
--- a/src/load_tool/summary.ts
+++ b/src/load_tool/summary.ts
@@ -1,43 +1,45 @@
-/** Sums a run up by stream, as a table for people and as data. */
+/** Summarizes a run by stream, as text and as data. */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import type { ILoadResult } from "./types.ts";
 
-/** Microseconds are recorded, so that fractions of a millisecond count. */
+/** Histograms hold microseconds, to keep fractions of a millisecond. */
 const UNITS_PER_MILLISECOND = 1_000;
 const LARGEST_VALUE = 600_000 * UNITS_PER_MILLISECOND;
 
-/** What became of a stream's requests; times in milliseconds. */
+/** Results of a stream's requests. Times are in milliseconds. */
 export interface IStreamSummary {
   readonly stream: string;
   readonly sent: number;
   readonly completed: number;
-  /** Share of those sent that were whole and on time, 0 to 1. */
+  /** Share of sent requests completed within the deadline, 0 to 1. */
   readonly onTimeShare: number;
   readonly firstByte95: number;
   readonly firstByte99: number;
   readonly gap95: number;
   readonly total95: number;
   readonly worst: number;
-  /** Count of each outcome and reason, as `not_run/over_limit`. */
+  /** Number of requests by outcome and reason, such as `not_run/over_limit`. */
   readonly outcomes: Readonly<Record<string, number>>;
 }
 
-/** Collects results as they come. */
+/** Collects results by stream. */
 export class LoadSummary {
   readonly #streams = new Map<string, StreamStatistics>();
 
   add(result: ILoadResult): void {
-    let tally = this.#streams.get(result.stream);
-    if (tally === undefined) {
-      tally = new StreamStatistics(result.stream);
-      this.#streams.set(result.stream, tally);
+    let statistics = this.#streams.get(result.stream);
+    if (statistics === undefined) {
+      statistics = new StreamStatistics(result.stream);
+      this.#streams.set(result.stream, statistics);
     }
-    tally.add(result);
+    statistics.add(result);
   }
 
   streams(): readonly IStreamSummary[] {
-    return [...this.#streams.values()].map((tally) => tally.summary());
+    return [...this.#streams.values()].map((statistics) =>
+      statistics.summary(),
+    );
   }
 }
 
@@ -86,7 +88,7 @@
   }
 }
 
-/** One line a stream. */
+/** Formats one line per stream. */
 export function formatSummary(streams: readonly IStreamSummary[]): string {
   return streams.map(formatStream).join("\n");
 }
--- a/src/load_tool/types.ts
+++ b/src/load_tool/types.ts
@@ -1,12 +1,12 @@
-/** What the load tool sends and what it tells of the answers. */
+/** Load profiles, and the requests and results of a run. */
 
-/** How a stream's rate changes while it runs. */
+/** A period in which a stream's rate is multiplied. */
 export interface IBurst {
   /** Milliseconds from the start. */
   readonly from: number;
   /** Milliseconds from the start. */
   readonly until: number;
-  /** Times the ordinary rate. */
+  /** Multiple of the stream's rate. */
   readonly factor: number;
 }
 
@@ -16,22 +16,22 @@
   readonly credential: string;
   /** Service and operation, as `summarizer/headline`. */
   readonly operation: string;
-  /** Requests a second outside bursts. */
+  /** Requests per second outside bursts. */
   readonly rate: number;
   readonly bursts: readonly IBurst[];
-  /** Words of an ordinary prompt; the sizes are spread exponentially. */
+  /** Mean number of words in a prompt, exponentially distributed. */
   readonly promptWords: number;
-  /** Tokens asked for by an ordinary request; spread likewise. */
+  /** Mean number of tokens requested, exponentially distributed. */
   readonly maximumTokens: number;
-  /** Prompts that share a prefix, for engines that cache; 0 shares none. */
+  /** Number of shared prompt prefixes, for engines that cache; 0 for none. */
   readonly sharedPrefixes: number;
-  /** Whether each request carries an Idempotency-Key. */
+  /** Whether each request carries an `Idempotency-Key` header. */
   readonly hasKey: boolean;
-  /** Milliseconds within which an answer counts as on time. */
+  /** Milliseconds within which a completed answer is on time. */
   readonly deadline: number;
 }
 
-/** A whole run. */
+/** All streams of a run. */
 export interface ILoadProfile {
   readonly seed: number;
   /** Milliseconds. */
@@ -39,7 +39,7 @@
   readonly streams: readonly ILoadStream[];
 }
 
-/** One request, decided before the run so that every run is the same. */
+/** One request, planned before the run so that every run is the same. */
 export interface IArrival {
   readonly stream: ILoadStream;
   /** Milliseconds from the start at which it is due. */
@@ -48,12 +48,12 @@
   readonly key: string | null;
 }
 
-/** What became of one request. */
+/** Result of one request. */
 export interface ILoadResult {
   readonly stream: string;
   /** `completed`, `not_run`, `unknown`, or `reset` for a broken connection. */
   readonly outcome: string;
-  /** The reason given with a refusal; empty otherwise. */
+  /** Reason given for the outcome, or the name of an error; empty if none. */
   readonly reason: string;
   /** Milliseconds from when it was due to the first byte of the answer. */
   readonly firstByte: number;
