--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,27 +1,27 @@
-// Lint rules: the recommended sets, plus the arrows between the layers.
+// Lint rules: the recommended sets, plus the imports allowed between layers.
 import js from "@eslint/js";
 import tseslint from "typescript-eslint";
 
 const commonImports = [
   {
     group: ["node:*", "fs", "net", "http", "http2", "path", "os", "crypto"],
-    message: "src/common is platform-free.",
+    message: "src/common must not depend on Node.js.",
   },
   {
     group: ["**/adapters/**", "**/daemon/**", "**/command_line/**"],
-    message: "src/common imports nothing outside src/common.",
+    message: "src/common must not import from outside src/common.",
   },
   {
     group: ["**/stand_ins/**", "**/generated/**"],
-    message: "src/common imports nothing outside src/common.",
+    message: "src/common must not import from outside src/common.",
   },
   {
     group: ["undici", "@grpc/*", "pino*", "clipanion", "prom-client"],
-    message: "src/common reaches the outside through its ports.",
+    message: "src/common does I/O only through its interfaces.",
   },
 ];
 
-/** The platform's names on the wire: only platform/ and deploy/ know them. */
+/** Names in the platform's wire format, used only in platform/ and deploy/. */
 const wireNames =
   "/(x-(attempt-id|deadline-ms|token-counts|prompt-prefix|tenant|expect-|not-executed|response-stamp|server-load|instance-id|weight-versions|request-priority|length-hint|model)|\\b(coldLeftMs|seqNo|innerPorts|gapTargetMs|formMs|apiKeys|maxAttempts|sloMs|pathPrefix|fenceToken|kvCapacity|loadsPerS)\\b)/i";
 
@@ -34,7 +34,7 @@
   "process",
   "fetch",
   "Buffer",
-].map((name) => ({ name, message: "Time and chance are handed in." }));
+].map((name) => ({ name, message: "Use the injected clock, timers and I/O." }));
 
 export default tseslint.config(
   { ignores: ["dist", "target", "journal", "src/generated", "node_modules"] },
@@ -71,7 +71,11 @@
       "no-restricted-globals": ["error", ...commonGlobals],
       "no-restricted-properties": [
         "error",
-        { object: "Math", property: "random", message: "Hand chance in." },
+        {
+          object: "Math",
+          property: "random",
+          message: "Use the injected random source.",
+        },
       ],
     },
   },
@@ -82,11 +86,11 @@
         "error",
         {
           selector: `Literal[value=${wireNames}]`,
-          message: "Names of the platform's wire stay in platform/.",
+          message: "Platform wire names belong in platform/.",
         },
         {
           selector: `Property[key.name=${wireNames}]:not([key.name='pathPrefix'])`,
-          message: "Names of the platform's wire stay in platform/.",
+          message: "Platform wire names belong in platform/.",
         },
       ],
     },
@@ -100,7 +104,7 @@
           patterns: [
             {
               group: ["**/daemon/**", "**/command_line/**", "**/stand_ins/**"],
-              message: "Adapters know src/common only.",
+              message: "src/adapters may import only from src/common.",
             },
           ],
         },
