--- a/bench/control_bench.ts
+++ b/bench/control_bench.ts
@@ -31,7 +31,7 @@
 
 type Counts = Readonly<Record<string, number>>;
 
-interface IUse {
+interface IProcessUsage {
   readonly seconds: number;
   readonly megabytes: number;
 }
@@ -75,9 +75,9 @@
   const daemons = deployment.processNames("daemon-");
   const pids = daemons.map((daemon) => deployment.process(daemon).pid);
   await sleep(SETTLE);
-  const before = pids.map(useOf);
-  const rest = await callsWithin(deployment, MEASURED);
-  const after = pids.map(useOf);
+  const before = pids.map(readProcessUsage);
+  const rest = await measureCallRates(deployment, MEASURED);
+  const after = pids.map(readProcessUsage);
   const time = mean(
     after.map((use, index) => use.seconds - before[index]!.seconds),
   );
@@ -90,25 +90,25 @@
   console.log(
     `${daemons.length} daemons, ${size.engines} engines a zone: ` +
       `${round(share)} % of a core and ${round(memory)} MB a daemon, ` +
-      `${round(calls)} platform calls/s (${shown(rest)})`,
+      `${round(calls)} platform calls/s (${formatRates(rest)})`,
   );
   for (const mode of [LinkMode.Cut, LinkMode.Pass]) {
     daemons.forEach((daemon) =>
       deployment.link(`platform<${daemon}`).setMode(mode),
     );
-    const within = await callsWithin(deployment, OUTAGE);
+    const within = await measureCallRates(deployment, OUTAGE);
     const name = mode === LinkMode.Cut ? "in the outage" : "after it";
     console.log(`  ${name}: ${round(total(within))} calls/s arrive`);
   }
 }
 
-async function callsWithin(
+async function measureCallRates(
   deployment: Deployment,
   duration: number,
 ): Promise<Counts> {
-  const before = await countsOf(deployment);
+  const before = await readCounts(deployment);
   await sleep(duration);
-  const after = await countsOf(deployment);
+  const after = await readCounts(deployment);
   const rates = Object.entries(after).map(([key, count]) => [
     key,
     (count - (before[key] ?? 0)) / (duration / 1_000),
@@ -119,13 +119,13 @@
   ) as Counts;
 }
 
-async function countsOf(deployment: Deployment): Promise<Counts> {
+async function readCounts(deployment: Deployment): Promise<Counts> {
   const url = `http://${deployment.platformAddress}/counts`;
   const answer = await request(url);
   return (await answer.body.json()) as Counts;
 }
 
-function useOf(pid: number): IUse {
+function readProcessUsage(pid: number): IProcessUsage {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
   const ticks = Number(fields[11]) + Number(fields[12]);
@@ -141,7 +141,7 @@
   return Object.values(counts).reduce((sum, rate) => sum + rate, 0);
 }
 
-function shown(counts: Counts): string {
+function formatRates(counts: Counts): string {
   return Object.entries(counts)
     .filter(([, rate]) => rate > 0)
     .map(([key, rate]) => `${key.trim()} ${round(rate)}`)
--- a/bench/decisions/capacity.ts
+++ b/bench/decisions/capacity.ts
@@ -1,42 +1,42 @@
 /** What the model's targets can serve at most: every batch always full. */
 import { EventQueue } from "./event_queue.ts";
-import { FakeTarget } from "./fake_target.ts";
+import { SimulatedTarget } from "./simulated_target.ts";
 import type { IFlow } from "./trace.ts";
-import { makeTrace } from "./trace.ts";
-import { seeded } from "./world.ts";
+import { generateTrace } from "./trace.ts";
+import { seededRandom } from "./simulation.ts";
 
 const WARM_UP = 30_000;
 const DURATION = 90_000;
 /** Starts are spread, so that answers do not all end together, ms. */
-const START_EVERY = 100;
+const START_INTERVAL = 100;
 const FULL_BATCH = 64;
 const SEED = 3;
 
 /** Whole answers a second of one target that never lacks work. */
-export function capacityOf(flow: IFlow): number {
+export function measureCapacity(flow: IFlow): number {
   const events = new EventQueue();
-  const target = new FakeTarget("target", events);
-  const trace = makeTrace([flow], DURATION, seeded(SEED));
+  const target = new SimulatedTarget("target", events);
+  const trace = generateTrace([flow], DURATION, seededRandom(SEED));
   let next = 0;
-  let done = 0;
+  let completed = 0;
   function startNext(): void {
     const entry = trace[next % trace.length];
     next += 1;
     if (entry !== undefined) {
       target.accept(entry.work, entry.tokens, {
-        token: (isLast) => {
+        onToken: (isLast) => {
           if (isLast) {
-            done += events.now >= WARM_UP ? 1 : 0;
-            events.after(0, startNext);
+            completed += events.now >= WARM_UP ? 1 : 0;
+            events.scheduleAfter(0, startNext);
           }
         },
-        failed: () => {},
+        onFailure: () => {},
       });
     }
   }
   for (let index = 0; index < FULL_BATCH; index++) {
-    events.after(index * START_EVERY, startNext);
+    events.scheduleAfter(index * START_INTERVAL, startNext);
   }
   events.runUntil(DURATION);
-  return done / ((DURATION - WARM_UP) / 1_000);
+  return completed / ((DURATION - WARM_UP) / 1_000);
 }
--- a/bench/decisions/cases.ts
+++ b/bench/decisions/cases.ts
@@ -1,9 +1,9 @@
 /** The load cases, each with what happens and when. */
-import { Behaviour } from "./fake_target.ts";
+import { Behaviour } from "./simulated_target.ts";
 import type { IFlow, ITraceEntry } from "./trace.ts";
-import { makeTrace } from "./trace.ts";
-import type { IScenario, World } from "./world.ts";
-import { seeded } from "./world.ts";
+import { generateTrace } from "./trace.ts";
+import type { IScenario, Simulation } from "./simulation.ts";
+import { seededRandom } from "./simulation.ts";
 
 const TARGETS = 16;
 const DAEMONS = 2;
@@ -42,10 +42,10 @@
   rest: Partial<IScenario> = {},
 ): IScenario {
   const duration = rest.duration ?? DURATION;
-  const trace: readonly ITraceEntry[] = makeTrace(
+  const trace: readonly ITraceEntry[] = generateTrace(
     flows,
     duration,
-    seeded(TRACE_SEED),
+    seededRandom(TRACE_SEED),
   );
   return {
     trace,
@@ -74,10 +74,10 @@
 }
 
 /** One request in twenty is a long brief. */
-export function longAmongShort(rate: number, withLong: boolean): IScenario {
+export function longAmongShort(rate: number, hasLong: boolean): IScenario {
   const short = { ...headlines(rate * 0.95) };
   const long = { ...BRIEF, rate: () => rate * 0.05 };
-  return scenario(withLong ? [short, long] : [short], { duration: 120_000 });
+  return scenario(hasLong ? [short, long] : [short], { duration: 120_000 });
 }
 
 /** One prefix begins a fifth of the requests, a hundred others the rest. */
@@ -92,21 +92,22 @@
 /** One target changes its ways at 10 s. */
 export function oneTarget(
   rate: number,
-  change: (world: World) => void,
+  change: (simulation: Simulation) => void,
 ): IScenario {
   return scenario([headlines(rate)], {
-    prepare: (world) => world.events.at(10_000, () => change(world)),
+    prepare: (simulation) =>
+      simulation.events.scheduleAt(10_000, () => change(simulation)),
   });
 }
 
 /** The first target at a fifth of its speed. */
-export function fifthOfSpeed(world: World): void {
-  world.targets[0]?.slowDown(5);
+export function slowFirstTarget(simulation: Simulation): void {
+  simulation.targets[0]?.setSlowness(5);
 }
 
 /** The first target accepts and never answers. */
-export function goSilent(world: World): void {
-  world.targets[0]?.behave(Behaviour.Silent);
+export function silenceFirstTarget(simulation: Simulation): void {
+  simulation.targets[0]?.setBehaviour(Behaviour.Silent);
 }
 
 /** A share of the targets is away between two times. */
@@ -115,11 +116,15 @@
   span: { readonly from: number; readonly to: number; readonly share: number },
 ): IScenario {
   return scenario([headlines(rate)], {
-    prepare: (world) => {
-      const count = world.targets.length * span.share;
-      for (const target of world.targets.slice(0, count)) {
-        world.events.at(span.from, () => target.behave(Behaviour.Away));
-        world.events.at(span.to, () => target.behave(Behaviour.Serves));
+    prepare: (simulation) => {
+      const count = simulation.targets.length * span.share;
+      for (const target of simulation.targets.slice(0, count)) {
+        simulation.events.scheduleAt(span.from, () =>
+          target.setBehaviour(Behaviour.Unreachable),
+        );
+        simulation.events.scheduleAt(span.to, () =>
+          target.setBehaviour(Behaviour.Serving),
+        );
       }
     },
   });
--- a/bench/decisions/event_queue.ts
+++ b/bench/decisions/event_queue.ts
@@ -9,7 +9,7 @@
 /** Events to come, and the time of the one that runs. */
 export class EventQueue {
   readonly #heap: IEvent[] = [];
-  #order = 0;
+  #sequence = 0;
   #now = 0;
 
   /** Milliseconds. */
@@ -17,14 +17,14 @@
     return this.#now;
   }
 
-  at(time: number, run: () => void): void {
-    this.#order += 1;
-    this.#heap.push({ at: time, order: this.#order, run });
-    this.#rise(this.#heap.length - 1);
+  scheduleAt(time: number, run: () => void): void {
+    this.#sequence += 1;
+    this.#heap.push({ at: time, order: this.#sequence, run });
+    this.#siftUp(this.#heap.length - 1);
   }
 
-  after(delay: number, run: () => void): void {
-    this.at(this.#now + delay, run);
+  scheduleAfter(delay: number, run: () => void): void {
+    this.scheduleAt(this.#now + delay, run);
   }
 
   /** Runs all events before the end, milliseconds. */
@@ -37,14 +37,14 @@
       const last = this.#heap.pop() as IEvent;
       if (this.#heap.length > 0) {
         this.#heap[0] = last;
-        this.#sink();
+        this.#siftDown();
       }
       this.#now = first.at;
       first.run();
     }
   }
 
-  #rise(from: number): void {
+  #siftUp(from: number): void {
     let index = from;
     while (index > 0) {
       const parent = (index - 1) >> 1;
@@ -56,7 +56,7 @@
     }
   }
 
-  #sink(): void {
+  #siftDown(): void {
     let index = 0;
     for (;;) {
       const left = index * 2 + 1;
@@ -83,8 +83,8 @@
   }
 
   #swap(one: number, other: number): void {
-    const kept = this.#heap[one] as IEvent;
+    const swapped = this.#heap[one] as IEvent;
     this.#heap[one] = this.#heap[other] as IEvent;
-    this.#heap[other] = kept;
+    this.#heap[other] = swapped;
   }
 }
--- a/bench/decisions/policies.ts
+++ b/bench/decisions/policies.ts
@@ -24,159 +24,162 @@
   /** Calls back after a delay in milliseconds. */
   after(delay: number, callback: () => void): void;
   /** Takes work back from where it runs. */
-  recall(work: IWorkItem): void;
+  cancel(work: IWorkItem): void;
 }
 
 /** What decides in one daemon. */
 export interface IPolicy {
-  arrive(work: IWorkItem): void;
-  report(targets: readonly ITargetLoadReport[]): void;
-  tokens(work: IWorkItem): void;
+  submit(work: IWorkItem): void;
+  updateReports(targets: readonly ITargetLoadReport[]): void;
+  onToken(work: IWorkItem): void;
   /** The answer is whole with so many tokens, or the caller has left. */
-  finished(work: IWorkItem, tokens: number | null): void;
-  failed(work: IWorkItem): void;
+  onFinished(work: IWorkItem, tokens: number | null): void;
+  onFailure(work: IWorkItem): void;
   tick(): void;
 }
 
 /** Tries of a request in every policy. */
-const MAXIMUM_TRIES = 3;
+const MAXIMUM_ATTEMPTS = 3;
 
 /** When a caller may come back whose tries have all failed, ms. */
 const RETRY_AFTER = 1_000;
 
 /** The project's decisions. */
-export class Scheduled implements IPolicy {
+export class SchedulerPolicy implements IPolicy {
   readonly #host: IPolicyHost;
   readonly #scheduler = new ServiceScheduler();
-  readonly #uses = new Map<IWorkItem, ITrackedRequest>();
-  readonly #avoid = new Map<IWorkItem, Set<string>>();
-  readonly #budgets = new Map<string, RetryBudget>();
+  readonly #trackedRequests = new Map<IWorkItem, ITrackedRequest>();
+  readonly #attemptedTargets = new Map<IWorkItem, Set<string>>();
+  readonly #retryBudgets = new Map<string, RetryBudget>();
 
   constructor(host: IPolicyHost) {
     this.#host = host;
   }
 
-  arrive(work: IWorkItem): void {
-    this.#budgetOf(work).recordFirstAttempt(this.#host.now);
-    this.#do(this.#scheduler.submit(work, this.#host.now));
+  submit(work: IWorkItem): void {
+    this.#retryBudgetOf(work).recordFirstAttempt(this.#host.now);
+    this.#apply(this.#scheduler.submit(work, this.#host.now));
   }
 
-  report(targets: readonly ITargetLoadReport[]): void {
+  updateReports(targets: readonly ITargetLoadReport[]): void {
     const { daemons, now } = this.#host;
-    this.#do(this.#scheduler.updateTargets({ targets, daemons }, now));
+    this.#apply(this.#scheduler.updateTargets({ targets, daemons }, now));
   }
 
-  tokens(work: IWorkItem): void {
-    const use = this.#uses.get(work);
-    if (use !== undefined) {
-      this.#scheduler.targets.recordTokens(use, 1, this.#host.now);
+  onToken(work: IWorkItem): void {
+    const tracked = this.#trackedRequests.get(work);
+    if (tracked !== undefined) {
+      this.#scheduler.targets.recordTokens(tracked, 1, this.#host.now);
     }
   }
 
-  finished(work: IWorkItem, tokens: number | null): void {
+  onFinished(work: IWorkItem, tokens: number | null): void {
     this.#end(work);
-    this.#avoid.delete(work);
+    this.#attemptedTargets.delete(work);
     this.#scheduler.cancel(work);
-    this.#do(this.#scheduler.finish(work, tokens, this.#host.now));
+    this.#apply(this.#scheduler.finish(work, tokens, this.#host.now));
   }
 
-  failed(work: IWorkItem): void {
+  onFailure(work: IWorkItem): void {
     this.#end(work);
-    const avoid = this.#avoid.get(work);
+    const avoid = this.#attemptedTargets.get(work);
     const { now, random } = this.#host;
     const within = work.deadline - now - this.#scheduler.estimateRunTime(work);
-    const isTriable = avoid !== undefined && avoid.size < MAXIMUM_TRIES;
-    const wait = isTriable ? this.#budgetOf(work).take(within, random) : null;
+    const canRetry = avoid !== undefined && avoid.size < MAXIMUM_ATTEMPTS;
+    const wait = canRetry
+      ? this.#retryBudgetOf(work).take(within, random)
+      : null;
     if (wait === null) {
-      this.#giveUp(work);
+      this.#abandon(work);
       return;
     }
     this.#host.after(wait, () => {
-      const isOpen = this.#avoid.get(work) === avoid;
+      const isOpen = this.#attemptedTargets.get(work) === avoid;
       if (isOpen && !this.#send(work)) {
-        this.#giveUp(work);
+        this.#abandon(work);
       }
     });
   }
 
   /** Requests at a target that has gone silent are tried elsewhere. */
   tick(): void {
-    this.#do(this.#scheduler.advance(this.#host.now));
-    for (const [work, use] of this.#uses) {
-      const isAside =
-        this.#scheduler.targets.healthOf(use.target) === TargetHealth.SetAside;
-      if (isAside && use.lastTokenAt === null) {
-        this.#host.recall(work);
-        this.failed(work);
+    this.#apply(this.#scheduler.advance(this.#host.now));
+    for (const [work, tracked] of this.#trackedRequests) {
+      const isSetAside =
+        this.#scheduler.targets.healthOf(tracked.target) ===
+        TargetHealth.SetAside;
+      if (isSetAside && tracked.lastTokenAt === null) {
+        this.#host.cancel(work);
+        this.onFailure(work);
       }
     }
   }
 
   /** The work as routing sees it. */
-  protected routed(work: IWorkItem): IWorkItem {
+  protected routedWork(work: IWorkItem): IWorkItem {
     return work;
   }
 
-  #do(actions: readonly ScheduleAction[]): void {
+  #apply(actions: readonly ScheduleAction[]): void {
     for (const action of actions) {
       if (action.kind === ScheduleActionKind.Refuse) {
         this.#host.refuse(action.work, action.retryAfter);
         continue;
       }
-      this.#avoid.set(action.work, new Set());
+      this.#attemptedTargets.set(action.work, new Set());
       if (!this.#send(action.work)) {
-        this.#giveUp(action.work);
+        this.#abandon(action.work);
       }
     }
   }
 
-  #giveUp(work: IWorkItem): void {
+  #abandon(work: IWorkItem): void {
     this.#host.refuse(work, RETRY_AFTER);
-    this.finished(work, null);
+    this.onFinished(work, null);
   }
 
   #send(work: IWorkItem): boolean {
-    const avoid = this.#avoid.get(work) ?? new Set<string>();
+    const avoid = this.#attemptedTargets.get(work) ?? new Set<string>();
     const { now, random } = this.#host;
     const { targets } = this.#scheduler;
-    const routed = this.routed(work);
+    const routed = this.routedWork(work);
     const target = targets.choose({ work: routed, avoid }, random);
     if (target === null) {
       return false;
     }
     avoid.add(target);
-    this.#uses.set(work, targets.startRequest(target, routed, now));
+    this.#trackedRequests.set(work, targets.startRequest(target, routed, now));
     this.#host.send(work, target);
     return true;
   }
 
   #end(work: IWorkItem): void {
-    const use = this.#uses.get(work);
-    if (use !== undefined) {
-      this.#scheduler.targets.endRequest(use, this.#host.now);
-      this.#uses.delete(work);
+    const tracked = this.#trackedRequests.get(work);
+    if (tracked !== undefined) {
+      this.#scheduler.targets.endRequest(tracked, this.#host.now);
+      this.#trackedRequests.delete(work);
     }
   }
 
-  #budgetOf(work: IWorkItem): RetryBudget {
-    const budget = this.#budgets.get(work.account) ?? new RetryBudget();
-    this.#budgets.set(work.account, budget);
+  #retryBudgetOf(work: IWorkItem): RetryBudget {
+    const budget = this.#retryBudgets.get(work.account) ?? new RetryBudget();
+    this.#retryBudgets.set(work.account, budget);
     return budget;
   }
 }
 
 /** The decisions, but blind to what prompts have in common. */
-export class WithoutAffinity extends Scheduled {
-  protected override routed(work: IWorkItem): IWorkItem {
+export class SchedulerWithoutAffinity extends SchedulerPolicy {
+  protected override routedWork(work: IWorkItem): IWorkItem {
     return { ...work, prefix: "" };
   }
 }
 
 /** FIFO without limit: all work is sent at once, and retried at once. */
-abstract class Unlimited implements IPolicy {
+abstract class UnlimitedPolicy implements IPolicy {
   readonly host: IPolicyHost;
   targets: readonly ITargetLoadReport[] = [];
-  readonly #tries = new Map<IWorkItem, number>();
+  readonly #attempts = new Map<IWorkItem, number>();
 
   constructor(host: IPolicyHost) {
     this.host = host;
@@ -184,32 +187,32 @@
 
   abstract choose(): string | null;
 
-  arrive(work: IWorkItem): void {
+  submit(work: IWorkItem): void {
     const target = this.choose();
     if (target === null) {
       this.host.refuse(work, RETRY_AFTER);
       return;
     }
-    this.#tries.set(work, (this.#tries.get(work) ?? 0) + 1);
+    this.#attempts.set(work, (this.#attempts.get(work) ?? 0) + 1);
     this.host.send(work, target);
   }
 
-  report(targets: readonly ITargetLoadReport[]): void {
+  updateReports(targets: readonly ITargetLoadReport[]): void {
     this.targets = targets;
   }
 
-  tokens(_work: IWorkItem): void {}
+  onToken(_work: IWorkItem): void {}
 
-  finished(work: IWorkItem, _tokens: number | null): void {
-    this.#tries.delete(work);
+  onFinished(work: IWorkItem, _tokens: number | null): void {
+    this.#attempts.delete(work);
   }
 
-  failed(work: IWorkItem): void {
-    if ((this.#tries.get(work) ?? 0) < MAXIMUM_TRIES) {
-      this.arrive(work);
+  onFailure(work: IWorkItem): void {
+    if ((this.#attempts.get(work) ?? 0) < MAXIMUM_ATTEMPTS) {
+      this.submit(work);
     } else {
       this.host.refuse(work, RETRY_AFTER);
-      this.finished(work, null);
+      this.onFinished(work, null);
     }
   }
 
@@ -217,7 +220,7 @@
 }
 
 /** One target after the other. */
-export class RoundRobin extends Unlimited {
+export class RoundRobin extends UnlimitedPolicy {
   #next = 0;
 
   override choose(): string | null {
@@ -227,7 +230,7 @@
 }
 
 /** The target with the least in flight by its last report. */
-export class LeastReported extends Unlimited {
+export class LeastReportedLoad extends UnlimitedPolicy {
   override choose(): string | null {
     let best: ITargetLoadReport | null = null;
     for (const target of this.targets) {
--- a/bench/decisions/results.ts
+++ b/bench/decisions/results.ts
@@ -11,19 +11,19 @@
   wastedTokens = 0;
   usefulTokens = 0;
   readonly firstTokens: number[] = [];
-  readonly gaps: number[] = [];
-  readonly totals: number[] = [];
+  readonly tokenGaps: number[] = [];
+  readonly responseTimes: number[] = [];
   /** How long after arrival a refusal was told. */
-  readonly refusedAfter: number[] = [];
+  readonly refusalDelays: number[] = [];
   /** Moments of arrival and first-token times, for looking at a span. */
   readonly series: { readonly at: number; readonly firstToken: number }[] = [];
 
   /** Moments of whole answers on time. */
-  readonly completedAt: number[] = [];
+  readonly completionTimes: number[] = [];
 
   /** Whole answers on time a second in a span, milliseconds. */
   goodput(from: number, to: number): number {
-    const inSpan = this.completedAt.filter((at) => at >= from && at < to);
+    const inSpan = this.completionTimes.filter((at) => at >= from && at < to);
     return inSpan.length / ((to - from) / 1_000);
   }
 
--- a/bench/decisions/fake_target.ts
+++ b/bench/decisions/simulated_target.ts
@@ -16,48 +16,48 @@
 /** Prompt tokens read in one step, of one prompt or several. */
 const PROMPT_BUDGET = 512;
 /** Requests that fit in memory; the others wait inside the target. */
-const LARGEST_BATCH = 64;
+const MAXIMUM_BATCH = 64;
 /** Prompts whose beginning is kept. */
 const CACHED_PREFIXES = 16;
 /** Share of a prompt that its prefix covers. */
 const PREFIX_SHARE = 0.8;
 
 /** What a request tells whoever sent it. */
-export interface ITargetEvents {
-  token(isLast: boolean): void;
-  failed(): void;
+export interface IResponseListener {
+  onToken(isLast: boolean): void;
+  onFailure(): void;
 }
 
-interface IRunning {
+interface IAcceptedRequest {
   readonly work: IWorkItem;
   readonly tokens: number;
-  readonly events: ITargetEvents;
-  promptLeft: number;
-  made: number;
+  readonly listener: IResponseListener;
+  remainingPrompt: number;
+  generatedTokens: number;
   isCancelled: boolean;
 }
 
 /** How a target behaves; may change while it runs. */
 export enum Behaviour {
-  Serves = "serves",
+  Serving = "serves",
   /** Accepts and never answers. */
   Silent = "silent",
   /** Refuses connections and has lost what it ran. */
-  Away = "away",
+  Unreachable = "away",
 }
 
 /** One target of the model. */
-export class FakeTarget {
+export class SimulatedTarget {
   readonly id: string;
   readonly #events: EventQueue;
   #slowness = 1;
-  #behaviour = Behaviour.Serves;
-  #running: IRunning[] = [];
-  #queued: IRunning[] = [];
+  #behaviour = Behaviour.Serving;
+  #running: IAcceptedRequest[] = [];
+  #queued: IAcceptedRequest[] = [];
   #isStepping = false;
-  readonly #prefixes = new Set<string>();
+  readonly #cachedPrefixes = new Set<string>();
   /** Tokens generated, also those nobody received. */
-  made = 0;
+  generatedTokens = 0;
 
   constructor(id: string, events: EventQueue) {
     this.id = id;
@@ -74,111 +74,121 @@
   }
 
   /** Steps take this many times as long. */
-  slowDown(slowness: number): void {
+  setSlowness(slowness: number): void {
     this.#slowness = slowness;
   }
 
-  behave(behaviour: Behaviour): void {
+  setBehaviour(behaviour: Behaviour): void {
     this.#behaviour = behaviour;
-    if (behaviour === Behaviour.Away) {
+    if (behaviour === Behaviour.Unreachable) {
       const lost = [...this.#running, ...this.#queued];
       this.#running = [];
       this.#queued = [];
       for (const request of lost) {
         request.isCancelled = true;
-        request.events.failed();
+        request.listener.onFailure();
       }
     }
     this.#step();
   }
 
   /** Accepts a request; the result cancels it. */
-  accept(work: IWorkItem, tokens: number, events: ITargetEvents): () => void {
-    if (this.#behaviour === Behaviour.Away) {
-      this.#events.after(1, () => events.failed());
+  accept(
+    work: IWorkItem,
+    tokens: number,
+    listener: IResponseListener,
+  ): () => void {
+    if (this.#behaviour === Behaviour.Unreachable) {
+      this.#events.scheduleAfter(1, () => listener.onFailure());
       return () => {};
     }
-    const request: IRunning = {
+    const request: IAcceptedRequest = {
       work,
       tokens,
-      events,
-      promptLeft: this.#promptOf(work),
-      made: 0,
+      listener,
+      remainingPrompt: this.#promptTokensToRead(work),
+      generatedTokens: 0,
       isCancelled: false,
     };
     this.#queued.push(request);
     this.#step();
     return () => {
       request.isCancelled = true;
-      this.#drop();
+      this.#removeCancelled();
     };
   }
 
-  #promptOf(work: IWorkItem): number {
+  #promptTokensToRead(work: IWorkItem): number {
     if (work.prefix === "") {
       return work.promptTokens;
     }
-    const isCached = this.#prefixes.delete(work.prefix);
-    this.#prefixes.add(work.prefix);
-    if (this.#prefixes.size > CACHED_PREFIXES) {
-      const [oldest] = this.#prefixes;
-      this.#prefixes.delete(oldest ?? "");
+    const isCached = this.#cachedPrefixes.delete(work.prefix);
+    this.#cachedPrefixes.add(work.prefix);
+    if (this.#cachedPrefixes.size > CACHED_PREFIXES) {
+      const [oldest] = this.#cachedPrefixes;
+      this.#cachedPrefixes.delete(oldest ?? "");
     }
     return isCached
       ? work.promptTokens * (1 - PREFIX_SHARE)
       : work.promptTokens;
   }
 
-  #drop(): void {
+  #removeCancelled(): void {
     this.#running = this.#running.filter((request) => !request.isCancelled);
     this.#queued = this.#queued.filter((request) => !request.isCancelled);
   }
 
   #step(): void {
-    if (this.#isStepping || this.#behaviour !== Behaviour.Serves) {
+    if (this.#isStepping || this.#behaviour !== Behaviour.Serving) {
       return;
     }
-    while (this.#running.length < LARGEST_BATCH && this.#queued.length > 0) {
-      this.#running.push(this.#queued.shift() as IRunning);
+    while (this.#running.length < MAXIMUM_BATCH && this.#queued.length > 0) {
+      this.#running.push(this.#queued.shift() as IAcceptedRequest);
     }
     if (this.#running.length === 0) {
       return;
     }
     this.#isStepping = true;
-    const writing = this.#running.filter(({ promptLeft }) => promptLeft <= 0);
-    const read = this.#readPrompts();
-    const finished = this.#running.filter(({ promptLeft }) => promptLeft <= 0);
+    const decoding = this.#running.filter(
+      ({ remainingPrompt }) => remainingPrompt <= 0,
+    );
+    const prefilled = this.#prefill();
+    const producing = this.#running.filter(
+      ({ remainingPrompt }) => remainingPrompt <= 0,
+    );
     const time =
-      STEP + STEP_PER_REQUEST * writing.length + STEP_PER_PROMPT_TOKEN * read;
-    this.#events.after(time * this.#slowness, () => {
+      STEP +
+      STEP_PER_REQUEST * decoding.length +
+      STEP_PER_PROMPT_TOKEN * prefilled;
+    this.#events.scheduleAfter(time * this.#slowness, () => {
       this.#isStepping = false;
-      this.#giveTokens(finished);
+      this.#emitTokens(producing);
       this.#step();
     });
   }
 
   /** Reads prompts in order of arrival; returns the tokens read. */
-  #readPrompts(): number {
+  #prefill(): number {
     let budget = PROMPT_BUDGET;
     for (const request of this.#running) {
-      const part = Math.min(budget, request.promptLeft);
-      request.promptLeft -= part;
+      const part = Math.min(budget, request.remainingPrompt);
+      request.remainingPrompt -= part;
       budget -= part;
     }
     return PROMPT_BUDGET - budget;
   }
 
-  #giveTokens(requests: readonly IRunning[]): void {
+  #emitTokens(requests: readonly IAcceptedRequest[]): void {
     for (const request of requests) {
       if (request.isCancelled) {
         continue;
       }
-      request.made += 1;
-      this.made += 1;
-      const isLast = request.made >= request.tokens;
+      request.generatedTokens += 1;
+      this.generatedTokens += 1;
+      const isLast = request.generatedTokens >= request.tokens;
       request.isCancelled = isLast;
-      request.events.token(isLast);
+      request.listener.onToken(isLast);
     }
-    this.#drop();
+    this.#removeCancelled();
   }
 }
--- a/bench/decisions/world.ts
+++ b/bench/decisions/simulation.ts
@@ -3,17 +3,17 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 import { EventQueue } from "./event_queue.ts";
-import { Behaviour, FakeTarget } from "./fake_target.ts";
+import { Behaviour, SimulatedTarget } from "./simulated_target.ts";
 import type { IPolicy, IPolicyHost } from "./policies.ts";
 import { Results } from "./results.ts";
 import type { ITraceEntry } from "./trace.ts";
 
 /** Time from a report's moment to the daemons, milliseconds. */
 const REPORT_LAG = 1_000;
-const REPORT_EVERY = 1_000;
-const TICK = 50;
+const REPORT_INTERVAL = 1_000;
+const TICK_INTERVAL = 50;
 /** Time after the last arrival in which answers still come. */
-const AFTERMATH = 70_000;
+const DRAIN_TIME = 70_000;
 
 /** What is played. */
 export interface IScenario {
@@ -25,61 +25,61 @@
   /** Reports that are always of now, as an oracle would have them. */
   readonly freshReports?: boolean;
   /** What happens to targets, and when. */
-  readonly prepare?: (world: World) => void;
+  readonly prepare?: (simulation: Simulation) => void;
 }
 
-interface IOpen {
+interface IOpenRequest {
   readonly entry: ITraceEntry;
   readonly policy: IPolicy;
   cancel: () => void;
-  made: number;
-  tries: number;
+  receivedTokens: number;
+  attempts: number;
   firstTokenAt: number;
   lastTokenAt: number;
   isClosed: boolean;
 }
 
 /** Random numbers from a seed, in [0, 1). */
-export function seeded(seed: number): () => number {
+export function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => uniformFloat64(generator);
 }
 
 /** One run of a scenario under one policy. */
-export class World {
+export class Simulation {
   readonly events = new EventQueue();
-  readonly targets: readonly FakeTarget[];
+  readonly targets: readonly SimulatedTarget[];
   readonly all = new Results();
   readonly accounts = new Map<string, Results>();
   /** Second and later tries sent to targets, by second. */
   readonly retriesBySecond: number[] = [];
-  readonly firstTriesBySecond: number[] = [];
+  readonly firstAttemptsBySecond: number[] = [];
   readonly #scenario: IScenario;
   readonly #random: () => number;
   readonly #policies: readonly IPolicy[];
-  readonly #open = new Map<IWorkItem, IOpen>();
+  readonly #openRequests = new Map<IWorkItem, IOpenRequest>();
   readonly #reports: { reported: number; describes: number }[];
 
   constructor(scenario: IScenario, create: (host: IPolicyHost) => IPolicy) {
     this.#scenario = scenario;
-    this.#random = seeded(scenario.seed);
+    this.#random = seededRandom(scenario.seed);
     this.targets = Array.from(
       { length: scenario.targets },
-      (_, index) => new FakeTarget(`target-${index}`, this.events),
+      (_, index) => new SimulatedTarget(`target-${index}`, this.events),
     );
     this.#reports = this.targets.map(() => ({ reported: 0, describes: 0 }));
     this.#policies = Array.from({ length: scenario.daemons }, () =>
-      create(this.#host()),
+      create(this.#createHost()),
     );
   }
 
-  static play(
+  static run(
     scenario: IScenario,
     create: (host: IPolicyHost) => IPolicy,
-  ): World {
-    const world = new World(scenario, create);
-    world.#run();
-    return world;
+  ): Simulation {
+    const simulation = new Simulation(scenario, create);
+    simulation.#run();
+    return simulation;
   }
 
   resultsOf(account: string): Results {
@@ -89,28 +89,31 @@
   }
 
   #run(): void {
-    this.#tellReports();
-    this.targets.forEach((_, index) => this.#takeReport(index));
+    this.#deliverReports();
+    this.targets.forEach((_, index) => this.#sampleReport(index));
     this.#policies.forEach((policy) => this.#tick(policy));
     this.#scenario.prepare?.(this);
     for (const entry of this.#scenario.trace) {
-      this.events.at(entry.work.arrivedAt, () => this.#arrive(entry));
+      this.events.scheduleAt(entry.work.arrivedAt, () =>
+        this.#handleArrival(entry),
+      );
     }
-    this.events.runUntil(this.#scenario.duration + AFTERMATH);
+    this.events.runUntil(this.#scenario.duration + DRAIN_TIME);
   }
 
-  #takeReport(index: number): void {
-    const target = this.targets[index] as FakeTarget;
+  #sampleReport(index: number): void {
+    const target = this.targets[index] as SimulatedTarget;
     const sampled = { reported: target.load, describes: this.events.now };
-    this.events.after(REPORT_LAG, () => {
+    this.events.scheduleAfter(REPORT_LAG, () => {
       this.#reports[index] = sampled;
     });
-    this.events.after(REPORT_EVERY * (0.9 + 0.2 * this.#random()), () =>
-      this.#takeReport(index),
+    this.events.scheduleAfter(
+      REPORT_INTERVAL * (0.9 + 0.2 * this.#random()),
+      () => this.#sampleReport(index),
     );
   }
 
-  #tellReports(): void {
+  #deliverReports(): void {
     const isFresh = this.#scenario.freshReports === true;
     const states = this.targets
       .map((target, index) => {
@@ -120,49 +123,49 @@
       })
       .filter((_, index) => this.#isListed(index));
     for (const policy of this.#policies) {
-      policy.report(states);
+      policy.updateReports(states);
     }
   }
 
   /** Targets that refuse connections leave the list when polled. */
   #isListed(index: number): boolean {
-    return this.targets[index]?.behaviour !== Behaviour.Away;
+    return this.targets[index]?.behaviour !== Behaviour.Unreachable;
   }
 
   #tick(policy: IPolicy): void {
     if (policy === this.#policies[0]) {
-      this.#tellReports();
+      this.#deliverReports();
     }
     policy.tick();
-    this.events.after(TICK, () => this.#tick(policy));
+    this.events.scheduleAfter(TICK_INTERVAL, () => this.#tick(policy));
   }
 
-  #arrive(entry: ITraceEntry): void {
+  #handleArrival(entry: ITraceEntry): void {
     const { work } = entry;
     const index = Math.floor(this.#random() * this.#policies.length);
     const policy = this.#policies[index] as IPolicy;
     for (const results of this.#resultsFor(work)) {
       results.offered += 1;
     }
-    count(this.firstTriesBySecond, this.events.now);
-    this.#open.set(work, {
+    count(this.firstAttemptsBySecond, this.events.now);
+    this.#openRequests.set(work, {
       entry,
       policy,
       cancel: () => {},
-      made: 0,
-      tries: 0,
+      receivedTokens: 0,
+      attempts: 0,
       firstTokenAt: Number.NaN,
       lastTokenAt: Number.NaN,
       isClosed: false,
     });
-    this.events.at(work.deadline, () => this.#leave(work));
+    this.events.scheduleAt(work.deadline, () => this.#handleDeadline(work));
     if (this.#scenario.freshReports) {
-      this.#tellReports();
+      this.#deliverReports();
     }
-    policy.arrive(work);
+    policy.submit(work);
   }
 
-  #host(): IPolicyHost {
+  #createHost(): IPolicyHost {
     const { events } = this;
     return {
       get now() {
@@ -172,93 +175,94 @@
       random: this.#random,
       send: (work, target) => this.#send(work, target),
       refuse: (work) => this.#refuse(work),
-      after: (delay, callback) => events.after(delay, callback),
-      recall: (work) => this.#open.get(work)?.cancel(),
+      after: (delay, callback) => events.scheduleAfter(delay, callback),
+      cancel: (work) => this.#openRequests.get(work)?.cancel(),
     };
   }
 
   #send(work: IWorkItem, id: string): void {
-    const open = this.#open.get(work);
+    const request = this.#openRequests.get(work);
     const target = this.targets.find((entry) => entry.id === id);
-    if (open === undefined || target === undefined) {
+    if (request === undefined || target === undefined) {
       throw new Error(`work ${work.id} cannot be sent to ${id}`);
     }
-    if (open.tries > 0) {
+    if (request.attempts > 0) {
       count(this.retriesBySecond, this.events.now);
     }
-    open.tries += 1;
-    let isMine = true;
-    open.made = 0;
-    const cancel = target.accept(work, open.entry.tokens, {
-      token: (isLast) => isMine && this.#token(open, isLast),
-      failed: () => isMine && open.policy.failed(work),
+    request.attempts += 1;
+    let isCurrentAttempt = true;
+    request.receivedTokens = 0;
+    const cancel = target.accept(work, request.entry.tokens, {
+      onToken: (isLast) =>
+        isCurrentAttempt && this.#handleToken(request, isLast),
+      onFailure: () => isCurrentAttempt && request.policy.onFailure(work),
     });
-    open.cancel = () => {
-      isMine = false;
+    request.cancel = () => {
+      isCurrentAttempt = false;
       cancel();
     };
   }
 
-  #token(open: IOpen, isLast: boolean): void {
+  #handleToken(request: IOpenRequest, isLast: boolean): void {
     const { now } = this.events;
-    const { work } = open.entry;
-    open.made += 1;
+    const { work } = request.entry;
+    request.receivedTokens += 1;
     for (const results of this.#resultsFor(work)) {
-      if (Number.isNaN(open.firstTokenAt)) {
+      if (Number.isNaN(request.firstTokenAt)) {
         const firstToken = now - work.arrivedAt;
         results.firstTokens.push(firstToken);
         results.series.push({ at: work.arrivedAt, firstToken });
       } else {
-        results.gaps.push(now - open.lastTokenAt);
+        results.tokenGaps.push(now - request.lastTokenAt);
       }
     }
-    open.firstTokenAt = Number.isNaN(open.firstTokenAt)
+    request.firstTokenAt = Number.isNaN(request.firstTokenAt)
       ? now
-      : open.firstTokenAt;
-    open.lastTokenAt = now;
-    open.policy.tokens(work);
+      : request.firstTokenAt;
+    request.lastTokenAt = now;
+    request.policy.onToken(work);
     if (isLast) {
-      this.#complete(open);
+      this.#complete(request);
     }
   }
 
-  #complete(open: IOpen): void {
-    const { work, tokens } = open.entry;
-    this.#open.delete(work);
+  #complete(request: IOpenRequest): void {
+    const { work, tokens } = request.entry;
+    this.#openRequests.delete(work);
     for (const results of this.#resultsFor(work)) {
       results.onTime += 1;
       results.usefulTokens += tokens;
-      results.completedAt.push(this.events.now);
-      results.totals.push(this.events.now - work.arrivedAt);
+      results.completionTimes.push(this.events.now);
+      results.responseTimes.push(this.events.now - work.arrivedAt);
     }
-    open.policy.finished(work, tokens);
+    request.policy.onFinished(work, tokens);
   }
 
   /** The deadline has passed: the caller leaves with nothing. */
-  #leave(work: IWorkItem): void {
-    const open = this.#open.get(work);
-    if (open === undefined) {
+  #handleDeadline(work: IWorkItem): void {
+    const request = this.#openRequests.get(work);
+    if (request === undefined) {
       return;
     }
-    this.#open.delete(work);
-    open.cancel();
+    this.#openRequests.delete(work);
+    request.cancel();
     for (const results of this.#resultsFor(work)) {
       results.late += 1;
-      results.wastedTokens += open.made;
+      results.wastedTokens += request.receivedTokens;
     }
-    open.policy.finished(work, null);
+    request.policy.onFinished(work, null);
   }
 
   #refuse(work: IWorkItem): void {
-    const open = this.#open.get(work);
-    if (open === undefined) {
+    const request = this.#openRequests.get(work);
+    if (request === undefined) {
       return;
     }
-    this.#open.delete(work);
+    this.#openRequests.delete(work);
     for (const results of this.#resultsFor(work)) {
       results.refused += 1;
-      results.wastedTokens += open.made;
-      results.refusedAfter.push(this.events.now - work.arrivedAt);
+      results.wastedTokens += request.receivedTokens;
+      results.refusalDelays.push(this.events.now - work.arrivedAt);
     }
   }
 
--- a/bench/decisions/trace.ts
+++ b/bench/decisions/trace.ts
@@ -25,7 +25,7 @@
 const SHORTEST_ANSWER = 0.6;
 
 /** Poisson arrivals of all flows, in order of time. */
-export function makeTrace(
+export function generateTrace(
   flows: readonly IFlow[],
   duration: number,
   random: () => number,
@@ -44,7 +44,7 @@
       }
       if (random() < flow.rate(time) / highest) {
         entries.push(
-          makeEntry(flow, `${index}-${entries.length}`, time, random),
+          createEntry(flow, `${index}-${entries.length}`, time, random),
         );
       }
     }
@@ -52,7 +52,7 @@
   return entries.sort((a, b) => a.work.arrivedAt - b.work.arrivedAt);
 }
 
-function makeEntry(
+function createEntry(
   flow: IFlow,
   id: string,
   time: number,
--- a/bench/digests_bench.ts
+++ b/bench/digests_bench.ts
@@ -44,8 +44,8 @@
 
 interface IDaemon {
   readonly name: string;
-  readonly board: DigestTable;
-  readonly own: readonly number[];
+  readonly table: DigestTable;
+  readonly polledTargets: readonly number[];
   readonly phase: number;
 }
 
@@ -70,7 +70,7 @@
       const whole = measure(zone, { isBusy, isWhole: true });
       const bytes = measured.bytes + calls * cost.overheadBytes;
       const time = measured.time + calls * cost.processorTime;
-      const plain = whole.bytes + calls * cost.overheadBytes;
+      const baseline = whole.bytes + calls * cost.overheadBytes;
       const sorted = [...measured.ages].sort((left, right) => left - right);
       const quantile = (share: number) =>
         round(sorted[Math.floor(share * (sorted.length - 1))] ?? 0);
@@ -80,7 +80,7 @@
       console.log(
         `${zone.daemons} daemons, ${zone.targets} targets, ` +
           `${isBusy ? "every load changes" : "loads at rest"}: ` +
-          `${round(bytes / plain)} of the baseline's bytes, ` +
+          `${round(bytes / baseline)} of the baseline's bytes, ` +
           `${round(bytes)} B/s sent with headers, ` +
           `${round(time / 10_000)} % of a core, ` +
           `${round(measured.polls)} polls/s; age of a report ` +
@@ -119,17 +119,17 @@
     for (const daemon of daemons) {
       const now = round * PERIOD + daemon.phase;
       const load = options.isBusy ? round : 0;
-      daemon.board.publish(
-        daemon.own.map((target) => polled(target, load, now)),
+      daemon.table.publish(
+        daemon.polledTargets.map((target) => createReport(target, load, now)),
       );
-      polls += daemon.own.length;
+      polls += daemon.polledTargets.length;
       const others = names.filter((name) => name !== daemon.name);
-      const chosen = choosePullSource(others, { self: daemon.name, round });
-      const peer = daemons.find(({ name }) => name === chosen)!;
-      const held = options.isWhole ? [] : daemon.board.heldRows(now);
-      const rows = peer.board.fresherRows(held, now);
+      const source = choosePullSource(others, { self: daemon.name, round });
+      const peer = daemons.find(({ name }) => name === source)!;
+      const held = options.isWhole ? [] : daemon.table.heldRows(now);
+      const rows = peer.table.fresherRows(held, now);
       bytes += round < SETTLE_ROUNDS ? 0 : encodedBytes(held, rows);
-      daemon.board.merge(rows, now);
+      daemon.table.merge(rows, now);
     }
     if (round >= SETTLE_ROUNDS) {
       ages.push(...collectAges(daemons, (round + 1) * PERIOD));
@@ -166,8 +166,8 @@
   return names
     .map((name) => ({
       name,
-      board: new DigestTable(hash.hash(name)),
-      own: own.get(name) ?? [],
+      table: new DigestTable(hash.hash(name)),
+      polledTargets: own.get(name) ?? [],
       phase: random.next() * PERIOD,
     }))
     .sort((left, right) => left.phase - right.phase);
@@ -175,9 +175,11 @@
 
 function collectAges(daemons: readonly IDaemon[], now: number): number[] {
   return daemons.flatMap((daemon) =>
-    daemons.flatMap(({ name, own }) => {
-      const seenAt = daemon.board.seenAt(hash.hash(name));
-      return own.length === 0 || seenAt === null ? [] : [now - seenAt];
+    daemons.flatMap(({ name, polledTargets }) => {
+      const seenAt = daemon.table.seenAt(hash.hash(name));
+      return polledTargets.length === 0 || seenAt === null
+        ? []
+        : [now - seenAt];
     }),
   );
 }
@@ -193,7 +195,7 @@
   return question.length + answer.length;
 }
 
-function polled(
+function createReport(
   target: number,
   load: number,
   seenAt: number,
--- a/bench/groups_bench.ts
+++ b/bench/groups_bench.ts
@@ -23,7 +23,7 @@
 const POLL_EVERY = 10;
 
 /** Milliseconds from a member's death until each part was done. */
-interface IParts {
+interface IRecoveryTimes {
   /** Every daemon has stopped sending to the group. */
   readonly notice: number;
   /** The record names the next generation: silence, decision and write. */
@@ -43,7 +43,7 @@
   replace_after: "4s",
 };
 
-async function until(
+async function measureUntil(
   start: number,
   condition: () => Promise<boolean>,
 ): Promise<number> {
@@ -60,7 +60,7 @@
 async function measure(
   deployment: Deployment,
   options: { readonly round: number; readonly hasSpare: boolean },
-): Promise<IParts> {
+): Promise<IRecoveryTimes> {
   const daemons = deployment.processNames("daemon-");
   const before = (await readDomainRecord(deployment)).groups[0];
   const isComplete = async (daemon: string) => {
@@ -73,18 +73,18 @@
   };
   const start = performance.now();
   deployment.process(before?.members[1] ?? "").signal("SIGKILL");
-  const notice = await until(start, () => all(false));
+  const notice = await measureUntil(start, () => all(false));
   if (!options.hasSpare) {
     const left = RETURN_TIME - (performance.now() - start);
     await new Promise((done) => setTimeout(done, left));
     await deployment.startEngine(`engine-new-${options.round}`, ZONE);
   }
   const generation = before?.generation ?? 0;
-  const write = await until(start, async () => {
+  const write = await measureUntil(start, async () => {
     const group = (await readDomainRecord(deployment)).groups[0];
     return (group?.generation ?? 0) > generation;
   });
-  const order = await until(start, async () => {
+  const order = await measureUntil(start, async () => {
     const members =
       (await readDomainRecord(deployment)).groups[0]?.members ?? [];
     const states = await Promise.all(
@@ -92,7 +92,7 @@
     );
     return states.every((state) => state > generation);
   });
-  const serve = await until(start, () => all(true));
+  const serve = await measureUntil(start, () => all(true));
   return { notice, write, order, serve };
 }
 
@@ -113,7 +113,7 @@
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-async function trial(hasSpare: boolean): Promise<number> {
+async function measureRecovery(hasSpare: boolean): Promise<number> {
   const spares = hasSpare ? ROUNDS : 0;
   await using deployment = await Deployment.start(
     groupPlan({
@@ -128,7 +128,7 @@
     deployment,
     deployment.processNames("daemon-"),
   );
-  const parts: IParts[] = [];
+  const parts: IRecoveryTimes[] = [];
   for (let round = 0; round < ROUNDS; round++) {
     await waitFor("every daemon sees the group", async () => {
       const statuses = await Promise.all(
@@ -161,7 +161,7 @@
 const HOUR = 3_600_000;
 
 /** What each weighing chooses, and what the other number would cost. */
-function compare(healTime: number): void {
+function compareSpareCounts(healTime: number): void {
   const cases = [
     { name: "song_lam", down: 100, stranded: 1, returnTime: 8 * HOUR },
     { name: "hormas", down: 1, stranded: 1, returnTime: HOUR / 2 },
@@ -192,9 +192,9 @@
 
 /** Runs both trials, then the comparison by the measured heal time. */
 export async function run(): Promise<void> {
-  const withSpare = await trial(true);
-  const without = await trial(false);
+  const withSpare = await measureRecovery(true);
+  const without = await measureRecovery(false);
   const ratio = (without / withSpare).toFixed(2);
   console.log(`downtime without a spare / with one: ${ratio}`);
-  compare(withSpare);
+  compareSpareCounts(withSpare);
 }
--- a/bench/instance_list_bench.ts
+++ b/bench/instance_list_bench.ts
@@ -71,9 +71,9 @@
     const bytes = (relay.bytes() - before) / READS;
     return { bytes, time: (user + system) / 1_000 / READS };
   };
-  await using keeping = new HttpPlatform(origin);
-  (await keeping.instances()).unwrap();
-  const unchanged = await read(keeping);
+  await using caching = new HttpPlatform(origin);
+  (await caching.instances()).unwrap();
+  const unchanged = await read(caching);
   const whole = await readWhole(origin, read);
   relay.close();
   return {
@@ -91,11 +91,11 @@
   read: (platform: HttpPlatform) => Promise<{ bytes: number; time: number }>,
 ): Promise<{ bytes: number; time: number }> {
   await using inner = new HttpPlatform(origin);
-  const forgetful = {
+  const uncached = {
     instances: async () => {
       await using fresh = new HttpPlatform(origin);
       return await fresh.instances();
     },
   };
-  return read(Object.assign(Object.create(inner) as HttpPlatform, forgetful));
+  return read(Object.assign(Object.create(inner) as HttpPlatform, uncached));
 }
--- a/bench/membership_bench.ts
+++ b/bench/membership_bench.ts
@@ -14,7 +14,7 @@
 import {
   encodedBytes,
   measureCallCost,
-  VERSIONS,
+  LIST_VERSIONS,
 } from "./support/peer_wire.ts";
 
 const SIZES: readonly number[] = [6, 24, 37, 96, 330];
@@ -23,7 +23,7 @@
 const MEASURED = 30_000;
 const DEATHS = 12;
 const DEATH_STEP = 50;
-const LONGEST_DEATH = 60_000;
+const DEATH_TIMEOUT = 60_000;
 const ZONE_AT_TARGET = 37;
 
 const hash = await XxhashHash.create();
@@ -102,14 +102,14 @@
     onMessageSent: (_, message) => {
       if (isMeasuring) {
         messages += 1;
-        bytes += encodedBytes({ message, versions: VERSIONS });
+        bytes += encodedBytes({ message, versions: LIST_VERSIONS });
       }
     },
     onViewSent: (_, view) => {
       if (isMeasuring) {
         const from = view[0]!;
         const message = { from, viewHash: 0, news: view };
-        bytes += encodedBytes({ message, versions: VERSIONS });
+        bytes += encodedBytes({ message, versions: LIST_VERSIONS });
       }
     },
   });
@@ -125,7 +125,7 @@
   let held = 0;
   for (let step = 0; step < MEASURED / 1_000; step++) {
     network.run(1_000);
-    held = Math.max(held, countHeldDead(network));
+    held = Math.max(held, countFalselyDead(network));
   }
   const { user, system } = process.cpuUsage(started);
   isMeasuring = false;
@@ -140,7 +140,7 @@
   };
 }
 
-function countHeldDead(network: SimulatedNetwork): number {
+function countFalselyDead(network: SimulatedNetwork): number {
   return network.nodes.filter(({ member }) =>
     network.nodes.some(
       ({ membership }) =>
@@ -161,7 +161,7 @@
         ({ isUp, membership }) =>
           !isUp || membership.stateOf(dead.member.daemon) === MemberState.Dead,
       );
-    while (!isKnown() && network.now - diedAt < LONGEST_DEATH) {
+    while (!isKnown() && network.now - diedAt < DEATH_TIMEOUT) {
       network.run(DEATH_STEP);
     }
     times.push(network.now - diedAt);
--- a/bench/path_bench.ts
+++ b/bench/path_bench.ts
@@ -18,7 +18,7 @@
 const MICROSECONDS = 1_000;
 
 /** Sends calls at a rate, whether or not earlier ones are answered. */
-async function pace(
+async function sendAtRate(
   calls: number,
   call: () => Promise<void>,
 ): Promise<Histogram> {
@@ -53,7 +53,7 @@
   return Number(kilobytes) / 1_024;
 }
 
-function posting(pool: Pool, path: string, content: object, token = "") {
+function createPost(pool: Pool, path: string, content: object, token = "") {
   const body = JSON.stringify(content);
   const headers = {
     "content-type": "application/json",
@@ -80,24 +80,28 @@
   });
   const daemon = deployment.process(DAEMON);
   const service = deployment.process(`service-${ZONE}`);
-  await using direct = pooled(`http://${service.listeningField("address")}`);
-  await using through = pooled(`http://${daemon.listeningField("callers")}`);
-  const straight = posting(direct.pool, "/call", {
+  await using direct = createPool(
+    `http://${service.listeningField("address")}`,
+  );
+  await using through = createPool(
+    `http://${daemon.listeningField("callers")}`,
+  );
+  const callDirectly = createPost(direct.pool, "/call", {
     requestId: "bench",
     operation: "feed",
     body: { page: 1 },
   });
-  const relayed = posting(
+  const callThroughDaemon = createPost(
     through.pool,
     "/v1/services/delivery-api/feed",
     { page: 1 },
     "subscriber-app-secret",
   );
   await sleep(1_000);
-  await pace(1_000, straight);
-  await pace(1_000, relayed);
-  const base = await pace(CALLS, straight);
-  const added = await pace(CALLS, relayed);
+  await sendAtRate(1_000, callDirectly);
+  await sendAtRate(1_000, callThroughDaemon);
+  const base = await sendAtRate(CALLS, callDirectly);
+  const added = await sendAtRate(CALLS, callThroughDaemon);
   for (const percentile of [50, 99]) {
     const ours = milliseconds(added, percentile);
     const theirs = milliseconds(base, percentile);
@@ -106,13 +110,13 @@
     console.log(`buffered p${percentile} ratio ${ratio}, added ${more} ms`);
   }
   for (let half = 1; half <= 2; half++) {
-    await pace(MEMORY_CALLS / 2, relayed);
+    await sendAtRate(MEMORY_CALLS / 2, callThroughDaemon);
     const megabytes = residentMemory(daemon.pid).toFixed(0);
     console.log(`resident memory after half ${half}: ${megabytes} MB`);
   }
 }
 
-function pooled(origin: string): { pool: Pool } & AsyncDisposable {
+function createPool(origin: string): { pool: Pool } & AsyncDisposable {
   const pool = new Pool(origin, { connections: 32 });
   return { pool, [Symbol.asyncDispose]: () => pool.close() };
 }
--- a/bench/placing/cases.ts
+++ b/bench/placing/cases.ts
@@ -1,6 +1,6 @@
 /** Loads to place: a small and a large model by the published figures. */
 import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
-import type { IPlacingCase } from "./placing_trial.ts";
+import type { IPlacingCase } from "./placing_simulation.ts";
 
 const LARGE: IModel = {
   name: "large",
@@ -53,7 +53,7 @@
     prompt: 714,
     output: 175,
     objective: 290,
-    renewEvery: 1_500,
+    replacementInterval: 1_500,
   };
 }
 
@@ -70,12 +70,12 @@
     prompt: 1_700,
     output: 96,
     objective: 400,
-    renewEvery: 1_500,
+    replacementInterval: 1_500,
   };
 }
 
 /** Engines whose slots outlast what they can read at once. */
-const MANY_SLOTS: IEngineProfile = {
+const MANY_SLOTS_ENGINE: IEngineProfile = {
   ...ENGINE,
   slots: 26,
   stepTime: 6.45,
@@ -87,11 +87,11 @@
 };
 
 /** More prompts than the groups can read, by engines with room for them. */
-export function pressedCase(): IPlacingCase {
+export function prefillBoundCase(): IPlacingCase {
   return {
     ...largeCase(0),
     name: "large model, more prompts than can be read",
-    engine: MANY_SLOTS,
+    engine: MANY_SLOTS_ENGINE,
     groups: 6,
     processes: 9,
     requestsPerSecond: 130,
--- a/bench/placing/placing_trial.ts
+++ b/bench/placing/placing_simulation.ts
@@ -4,13 +4,13 @@
 import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
 import { SeededRandom } from "../../test/support/seeded_random.ts";
 import { EventQueue } from "../decisions/event_queue.ts";
-import { EngineGroup } from "./engine_group.ts";
+import { SimulatedGroup } from "./simulated_group.ts";
 
 /** What a process knows of a group when it places. */
 export interface IKnownGroup extends IGroupLoad {
   /** The truth, for the oracle only. */
   readonly trueInFlight: number;
-  readonly trueBacklog: number;
+  readonly truePrefillTime: number;
 }
 
 /** What a process knows beside the groups. */
@@ -40,17 +40,17 @@
   /** Milliseconds until the first event for an answer on time. */
   readonly objective: number;
   /** Milliseconds: one group after the other is empty and new. */
-  readonly renewEvery: number;
+  readonly replacementInterval: number;
 }
 
 /** Age of the others' counts at most, milliseconds. */
-const TOLD_EVERY = 230;
+const EXCHANGE_INTERVAL = 230;
 
 /** Before each first event beside the work, milliseconds; as seen of engines. */
-const ENTRY_TIME = 110;
+const FIRST_EVENT_OVERHEAD = 110;
 
 /** How long is played, milliseconds. */
-const LENGTH = 60_000;
+const DURATION = 60_000;
 
 /** Spread of the sizes: a long tail, as the users' tables have. */
 const SIZE_SPREAD = 0.8;
@@ -62,150 +62,157 @@
   readonly output: number;
 }
 
-interface IOwnView {
-  own: Map<string, number>;
-  reading: Map<string, number>;
-  others: Map<string, number>;
+interface IProcessView {
+  ownInFlight: Map<string, number>;
+  ownPrefillTime: Map<string, number>;
+  othersInFlight: Map<string, number>;
 }
 
 /** Share of the requests whose first event is late. */
-export function playPlacing(
-  kase: IPlacingCase,
+export function simulatePlacing(
+  scenario: IPlacingCase,
   policy: PlacingPolicy,
   seed: number,
 ): number {
-  const trial = new Trial(kase, policy, seed);
-  return trial.play();
+  const simulation = new PlacingSimulation(scenario, policy, seed);
+  return simulation.run();
 }
 
-class Trial {
-  readonly #case: IPlacingCase;
+class PlacingSimulation {
+  readonly #scenario: IPlacingCase;
   readonly #policy: PlacingPolicy;
   readonly #random: SeededRandom;
   readonly #queue = new EventQueue();
-  readonly #views: IOwnView[] = [];
-  #groups: EngineGroup[] = [];
+  readonly #views: IProcessView[] = [];
+  #groups: SimulatedGroup[] = [];
   /** Requests that wait in each process. */
   readonly #waiting: IRequest[][] = [];
-  #made = 0;
-  #late = 0;
-  #count = 0;
+  #createdGroups = 0;
+  #lateRequests = 0;
+  #requests = 0;
 
-  constructor(kase: IPlacingCase, policy: PlacingPolicy, seed: number) {
-    this.#case = kase;
+  constructor(scenario: IPlacingCase, policy: PlacingPolicy, seed: number) {
+    this.#scenario = scenario;
     this.#policy = policy;
     this.#random = new SeededRandom(seed);
   }
 
-  play(): number {
-    const { groups, processes, renewEvery } = this.#case;
+  run(): number {
+    const { groups, processes, replacementInterval } = this.#scenario;
     for (let index = 0; index < groups; index += 1) {
-      this.#groups.push(this.#newGroup());
+      this.#groups.push(this.#createGroup());
     }
     for (let index = 0; index < processes; index += 1) {
       this.#views.push(emptyView());
       this.#waiting.push([]);
-      this.#tell(index, (TOLD_EVERY * index) / processes);
+      this.#exchangeCounts(index, (EXCHANGE_INTERVAL * index) / processes);
     }
-    this.#renew(renewEvery);
-    this.#arrive();
-    this.#queue.runUntil(LENGTH);
-    return this.#late / Math.max(1, this.#count);
+    this.#replaceOldestGroup(replacementInterval);
+    this.#scheduleArrival();
+    this.#queue.runUntil(DURATION);
+    return this.#lateRequests / Math.max(1, this.#requests);
   }
 
-  #newGroup(): EngineGroup {
-    const { engine, model } = this.#case;
-    this.#made += 1;
-    const kind = { engine, model, entryTime: ENTRY_TIME };
-    return new EngineGroup(`group-${this.#made}`, kind, this.#queue);
+  #createGroup(): SimulatedGroup {
+    const { engine, model } = this.#scenario;
+    this.#createdGroups += 1;
+    const kind = { engine, model, firstEventOverhead: FIRST_EVENT_OVERHEAD };
+    return new SimulatedGroup(
+      `group-${this.#createdGroups}`,
+      kind,
+      this.#queue,
+    );
   }
 
   /** A group is given up for a new one; what runs in it goes on. */
-  #renew(after: number): void {
-    this.#queue.after(after, () => {
-      this.#groups = [...this.#groups.slice(1), this.#newGroup()];
-      this.#renew(after);
+  #replaceOldestGroup(after: number): void {
+    this.#queue.scheduleAfter(after, () => {
+      this.#groups = [...this.#groups.slice(1), this.#createGroup()];
+      this.#replaceOldestGroup(after);
     });
   }
 
-  #tell(index: number, after: number): void {
-    this.#queue.after(after, () => {
+  #exchangeCounts(index: number, after: number): void {
+    this.#queue.scheduleAfter(after, () => {
       const others = new Map<string, number>();
       this.#views.forEach((view, other) => {
         if (other !== index) {
-          view.own.forEach((count, group) => add(others, group, count));
+          view.ownInFlight.forEach((count, group) => add(others, group, count));
         }
       });
       const view = this.#views[index];
       if (view !== undefined) {
-        view.others = others;
-        this.#retry(index);
+        view.othersInFlight = others;
+        this.#placeWaiting(index);
       }
-      this.#tell(index, TOLD_EVERY);
+      this.#exchangeCounts(index, EXCHANGE_INTERVAL);
     });
   }
 
-  #arrive(): void {
-    const gap = 1_000 / this.#case.requestsPerSecond;
+  #scheduleArrival(): void {
+    const gap = 1_000 / this.#scenario.requestsPerSecond;
     const wait = -Math.log(1 - this.#random.next()) * gap;
-    this.#queue.after(wait, () => {
-      this.#request();
-      this.#arrive();
+    this.#queue.scheduleAfter(wait, () => {
+      this.#addRequest();
+      this.#scheduleArrival();
     });
   }
 
-  #request(): void {
-    const index = Math.floor(this.#random.next() * this.#case.processes);
+  #addRequest(): void {
+    const index = Math.floor(this.#random.next() * this.#scenario.processes);
     const arrivedAt = this.#queue.now;
-    const prompt = this.#size(this.#case.prompt);
-    const output = this.#size(this.#case.output);
-    this.#count += 1;
+    const prompt = this.#sampleSize(this.#scenario.prompt);
+    const output = this.#sampleSize(this.#scenario.output);
+    this.#requests += 1;
     this.#waiting[index]?.push({ index, arrivedAt, prompt, output });
-    this.#retry(index);
+    this.#placeWaiting(index);
   }
 
   #place(request: IRequest): boolean {
     const { index, arrivedAt, prompt, output } = request;
     const view = this.#views[index];
-    const known = this.#groups.map((group) => this.#known(group, view));
-    const name = this.#policy(known, {
-      processes: this.#case.processes,
-      prefillBudget: this.#case.objective - ENTRY_TIME,
+    const knownGroups = this.#groups.map((group) =>
+      this.#knownGroup(group, view),
+    );
+    const name = this.#policy(knownGroups, {
+      processes: this.#scenario.processes,
+      prefillBudget: this.#scenario.objective - FIRST_EVENT_OVERHEAD,
       chance: () => this.#random.next(),
     });
     const group = this.#groups.find((one) => one.name === name);
     if (view === undefined || group === undefined) {
       return false;
     }
-    const reading = this.#readTime(prompt);
-    add(view.own, group.name, 1);
-    add(view.reading, group.name, reading);
-    group.take({
+    const prefillTime = this.#prefillTime(prompt);
+    add(view.ownInFlight, group.name, 1);
+    add(view.ownPrefillTime, group.name, prefillTime);
+    group.submit({
       prompt,
       output,
       sentAt: this.#queue.now,
       firstEventAt: null,
       read: 0,
-      written: 0,
+      generatedTokens: 0,
       onFirstEvent: () => {
-        add(view.reading, group.name, -reading);
-        const isLate = this.#queue.now - arrivedAt > this.#case.objective;
-        this.#late += isLate ? 1 : 0;
-        this.#retry(index);
+        add(view.ownPrefillTime, group.name, -prefillTime);
+        const isLate = this.#queue.now - arrivedAt > this.#scenario.objective;
+        this.#lateRequests += isLate ? 1 : 0;
+        this.#placeWaiting(index);
       },
       onEnd: () => {
-        add(view.own, group.name, -1);
-        this.#retry(index);
+        add(view.ownInFlight, group.name, -1);
+        this.#placeWaiting(index);
       },
     });
     return true;
   }
 
   /** Those that can be on time go first. */
-  #retry(index: number): void {
+  #placeWaiting(index: number): void {
     const waiting = this.#waiting[index] ?? [];
     const canBeOnTime = ({ arrivedAt }: IRequest) =>
-      this.#queue.now - arrivedAt + ENTRY_TIME < this.#case.objective;
+      this.#queue.now - arrivedAt + FIRST_EVENT_OVERHEAD <
+      this.#scenario.objective;
     while (waiting.length > 0) {
       const next = waiting.find(canBeOnTime) ?? waiting[0];
       if (next === undefined || !this.#place(next)) {
@@ -215,34 +222,37 @@
     }
   }
 
-  #known(group: EngineGroup, view: IOwnView | undefined): IKnownGroup {
+  #knownGroup(
+    group: SimulatedGroup,
+    view: IProcessView | undefined,
+  ): IKnownGroup {
     const { name } = group;
     return {
       group: name,
       zone: "one",
       pace: 1,
-      slots: this.#case.engine.slots,
-      ownInFlight: view?.own.get(name) ?? 0,
-      othersInFlight: view?.others.get(name) ?? 0,
-      ownPrefillTime: view?.reading.get(name) ?? 0,
+      slots: this.#scenario.engine.slots,
+      ownInFlight: view?.ownInFlight.get(name) ?? 0,
+      othersInFlight: view?.othersInFlight.get(name) ?? 0,
+      ownPrefillTime: view?.ownPrefillTime.get(name) ?? 0,
       trueInFlight: this.#views.reduce(
-        (sum, { own }) => sum + (own.get(name) ?? 0),
+        (sum, { ownInFlight }) => sum + (ownInFlight.get(name) ?? 0),
         0,
       ),
-      trueBacklog: this.#views.reduce(
-        (sum, { reading }) => sum + (reading.get(name) ?? 0),
+      truePrefillTime: this.#views.reduce(
+        (sum, { ownPrefillTime }) => sum + (ownPrefillTime.get(name) ?? 0),
         0,
       ),
     };
   }
 
-  #readTime(prompt: number): number {
-    const { engine, model } = this.#case;
+  #prefillTime(prompt: number): number {
+    const { engine, model } = this.#scenario;
     return prefillMs(engine, prompt) * model.pace;
   }
 
   /** Log-normal round the mean. */
-  #size(mean: number): number {
+  #sampleSize(mean: number): number {
     const one = Math.sqrt(-2 * Math.log(1 - this.#random.next()));
     const normal = one * Math.cos(2 * Math.PI * this.#random.next());
     const centre = Math.log(mean) - SIZE_SPREAD ** 2 / 2;
@@ -250,11 +260,11 @@
   }
 }
 
-function emptyView(): IOwnView {
+function emptyView(): IProcessView {
   return {
-    own: new Map(),
-    reading: new Map(),
-    others: new Map(),
+    ownInFlight: new Map(),
+    ownPrefillTime: new Map(),
+    othersInFlight: new Map(),
   };
 }
 
--- a/bench/placing/policies.ts
+++ b/bench/placing/policies.ts
@@ -1,35 +1,40 @@
 /** Ways to place, to compare with. */
 import { chooseGroup } from "../../src/common/calls/group_choice.ts";
-import type { IKnownGroup, PlacingPolicy } from "./placing_trial.ts";
+import type { IKnownGroup, PlacingPolicy } from "./placing_simulation.ts";
 
 /** Share of the slots that chance adds, so that equals are all taken. */
-const SPREAD = 0.08;
+const RANDOM_SPREAD = 0.08;
 
 /** Milliseconds of unread prompts that weigh as much as all slots. */
-const READING_SCALE = 100;
+const PREFILL_SCALE = 100;
 
 /** The product's own choice. */
-export const spreadOwn: PlacingPolicy = (groups, options) =>
+export const productChoice: PlacingPolicy = (groups, options) =>
   chooseGroup(groups, { ...options, zone: "one" })?.group ?? null;
 
 /** The same, however many prompts are unread. */
-export const unboundedReading: PlacingPolicy = (groups, options) =>
-  spreadOwn(groups, { ...options, prefillBudget: Number.POSITIVE_INFINITY });
+export const unboundedPrefill: PlacingPolicy = (groups, options) =>
+  productChoice(groups, {
+    ...options,
+    prefillBudget: Number.POSITIVE_INFINITY,
+  });
 
 /** The lowest of all known counts, the others' some time old. */
-export const leastInFlight = lowest((group) => inFlightOf(group) / group.slots);
+export const leastInFlight = lowestScore(
+  (group) => inFlightOf(group) / group.slots,
+);
 
 /** Any group that is not known to be full. */
-export const anyGroup = lowest(() => 0);
+export const anyGroup = lowestScore(() => 0);
 
 /** Knows all requests and prompts of all processes at each moment. */
-export const oracle = lowest(
-  ({ trueInFlight, trueBacklog, slots }) =>
-    trueInFlight / slots + trueBacklog / READING_SCALE,
+export const oracle = lowestScore(
+  ({ trueInFlight, truePrefillTime, slots }) =>
+    trueInFlight / slots + truePrefillTime / PREFILL_SCALE,
   ({ trueInFlight }) => trueInFlight,
 );
 
-function lowest(
+function lowestScore(
   score: (group: IKnownGroup) => number,
   count = inFlightOf,
 ): PlacingPolicy {
@@ -38,7 +43,7 @@
       .filter((group) => count(group) < group.slots)
       .map(({ group, ...rest }) => ({
         group,
-        score: score({ group, ...rest }) + chance() * SPREAD,
+        score: score({ group, ...rest }) + chance() * RANDOM_SPREAD,
       }))
       .sort((one, other) => one.score - other.score);
     return scored[0]?.group ?? null;
--- a/bench/placing/engine_group.ts
+++ b/bench/placing/simulated_group.ts
@@ -13,19 +13,19 @@
   readonly sentAt: number;
   firstEventAt: number | null;
   read: number;
-  written: number;
+  generatedTokens: number;
   readonly onFirstEvent: () => void;
   readonly onEnd: () => void;
 }
 
 /** Passes one after the other while there is work. */
-export class EngineGroup {
+export class SimulatedGroup {
   readonly name: string;
   readonly #engine: IEngineProfile;
   readonly #model: IModel;
   readonly #queue: EventQueue;
   /** Milliseconds before the first event that no work of others explains. */
-  readonly #entryTime: number;
+  readonly #firstEventOverhead: number;
   readonly #waiting: IPlacedRequest[] = [];
   #running: IPlacedRequest[] = [];
   #isBusy = false;
@@ -35,14 +35,14 @@
     kind: {
       readonly engine: IEngineProfile;
       readonly model: IModel;
-      readonly entryTime: number;
+      readonly firstEventOverhead: number;
     },
     queue: EventQueue,
   ) {
     this.name = name;
     this.#engine = kind.engine;
     this.#model = kind.model;
-    this.#entryTime = kind.entryTime;
+    this.#firstEventOverhead = kind.firstEventOverhead;
     this.#queue = queue;
   }
 
@@ -51,30 +51,33 @@
   }
 
   /** Milliseconds of reading that lie before a new prompt. */
-  get backlog(): number {
+  get prefillBacklog(): number {
     const all = [...this.#running, ...this.#waiting];
-    return all.reduce((sum, one) => sum + this.#reading(one), 0);
+    return all.reduce(
+      (sum, request) => sum + this.#remainingPrefillTime(request),
+      0,
+    );
   }
 
-  take(request: IPlacedRequest): void {
-    this.#queue.after(this.#entryTime, () => {
+  submit(request: IPlacedRequest): void {
+    this.#queue.scheduleAfter(this.#firstEventOverhead, () => {
       this.#waiting.push(request);
       this.#start();
     });
   }
 
-  #reading({ prompt, read }: IPlacedRequest): number {
+  #remainingPrefillTime({ prompt, read }: IPlacedRequest): number {
     return prefillMs(this.#engine, prompt - read) * this.#model.pace;
   }
 
   #start(): void {
     if (!this.#isBusy) {
       this.#isBusy = true;
-      this.#pass();
+      this.#runPass();
     }
   }
 
-  #pass(): void {
+  #runPass(): void {
     while (this.#running.length < this.#engine.slots) {
       const next = this.#waiting.shift();
       if (next === undefined) {
@@ -86,32 +89,32 @@
       this.#isBusy = false;
       return;
     }
-    const writers = this.#running.filter(({ prompt, read }) => read >= prompt);
-    const steps = writers.length > 0 ? this.#engine.stride : 1;
-    const time = this.#writeTime(writers, steps) + this.#read(steps);
-    this.#queue.after(time, () => this.#passEnded(writers));
+    const decoding = this.#running.filter(({ prompt, read }) => read >= prompt);
+    const steps = decoding.length > 0 ? this.#engine.stride : 1;
+    const time = this.#decodeTime(decoding, steps) + this.#prefill(steps);
+    this.#queue.scheduleAfter(time, () => this.#endPass(decoding));
   }
 
-  #writeTime(writers: readonly IPlacedRequest[], steps: number): number {
-    if (writers.length === 0) {
+  #decodeTime(decoding: readonly IPlacedRequest[], steps: number): number {
+    if (decoding.length === 0) {
       return 0;
     }
-    const context = writers.reduce(
-      (sum, { prompt, written }) => sum + prompt + written,
+    const context = decoding.reduce(
+      (sum, { prompt, generatedTokens }) => sum + prompt + generatedTokens,
       0,
     );
-    const step = stepTime(this.#engine, writers.length, context);
+    const step = stepTime(this.#engine, decoding.length, context);
     return step * steps * this.#model.pace;
   }
 
   /** Reads prompts in order; returns the milliseconds it takes. */
-  #read(steps: number): number {
+  #prefill(steps: number): number {
     let left = this.#engine.chunk * steps;
     let time = 0;
-    for (const one of this.#running) {
-      const tokens = Math.min(left, one.prompt - one.read);
+    for (const request of this.#running) {
+      const tokens = Math.min(left, request.prompt - request.read);
       if (tokens > 0) {
-        one.read += tokens;
+        request.read += tokens;
         left -= tokens;
         time += prefillMs(this.#engine, tokens) * this.#model.pace;
       }
@@ -119,18 +122,18 @@
     return time;
   }
 
-  #passEnded(writers: readonly IPlacedRequest[]): void {
-    for (const one of writers) {
-      one.written += this.#engine.stride;
-      if (one.firstEventAt === null) {
-        one.firstEventAt = this.#queue.now;
-        one.onFirstEvent();
+  #endPass(decoding: readonly IPlacedRequest[]): void {
+    for (const request of decoding) {
+      request.generatedTokens += this.#engine.stride;
+      if (request.firstEventAt === null) {
+        request.firstEventAt = this.#queue.now;
+        request.onFirstEvent();
       }
-      if (one.written >= one.output) {
-        this.#running = this.#running.filter((other) => other !== one);
-        one.onEnd();
+      if (request.generatedTokens >= request.output) {
+        this.#running = this.#running.filter((other) => other !== request);
+        request.onEnd();
       }
     }
-    this.#pass();
+    this.#runPass();
   }
 }
--- a/bench/placing_bench.ts
+++ b/bench/placing_bench.ts
@@ -3,24 +3,27 @@
  * without a bound on unread prompts, the least in flight by old counts, any
  * group, and an oracle.
  */
-import { pressedCase, largeCase, smallCase } from "./placing/cases.ts";
+import { prefillBoundCase, largeCase, smallCase } from "./placing/cases.ts";
 import {
   anyGroup,
   leastInFlight,
   oracle,
-  spreadOwn,
-  unboundedReading,
+  productChoice,
+  unboundedPrefill,
 } from "./placing/policies.ts";
-import { playPlacing } from "./placing/placing_trial.ts";
-import type { IPlacingCase, PlacingPolicy } from "./placing/placing_trial.ts";
+import { simulatePlacing } from "./placing/placing_simulation.ts";
+import type {
+  IPlacingCase,
+  PlacingPolicy,
+} from "./placing/placing_simulation.ts";
 
 const LOADS = [0.5, 0.7, 0.85, 0.9];
 const SEEDS = [1, 2, 3, 4];
 const PERCENT = 100;
 
 const POLICIES: readonly [string, PlacingPolicy][] = [
-  ["spread_own", spreadOwn],
-  ["unbounded_reading", unboundedReading],
+  ["spread_own", productChoice],
+  ["unbounded_reading", unboundedPrefill],
   ["least_in_flight", leastInFlight],
   ["any_group", anyGroup],
   ["oracle", oracle],
@@ -28,14 +31,16 @@
 
 export function run(): Promise<void> {
   const calm = LOADS.flatMap((load) => [smallCase(load), largeCase(load)]);
-  for (const kase of [...calm, pressedCase()]) {
+  for (const scenario of [...calm, prefillBoundCase()]) {
     const late = POLICIES.map(([name, policy]) => ({
       name,
-      share: lateShare(kase, policy),
+      share: lateShare(scenario, policy),
     }));
     const [own, , baseline] = late;
     const ratio = (own?.share ?? 0) / (baseline?.share ?? 1);
-    console.log(`${kase.name}: late, of the baseline's ${ratio.toFixed(2)}`);
+    console.log(
+      `${scenario.name}: late, of the baseline's ${ratio.toFixed(2)}`,
+    );
     for (const { name, share } of late) {
       console.log(`  ${name} ${(share * PERCENT).toFixed(1)} % late`);
     }
@@ -43,7 +48,7 @@
   return Promise.resolve();
 }
 
-function lateShare(kase: IPlacingCase, policy: PlacingPolicy): number {
-  const shares = SEEDS.map((seed) => playPlacing(kase, policy, seed));
+function lateShare(scenario: IPlacingCase, policy: PlacingPolicy): number {
+  const shares = SEEDS.map((seed) => simulatePlacing(scenario, policy, seed));
   return shares.reduce((sum, share) => sum + share, 0) / SEEDS.length;
 }
--- a/bench/plan_lists_bench.ts
+++ b/bench/plan_lists_bench.ts
@@ -11,7 +11,7 @@
 
 const ZONES = ["vn-north-a", "vn-north-b", "vn-north-c"];
 const FAR = "daemon-vn-north-c-";
-const LOOK_EVERY = 5;
+const POLL_INTERVAL = 5;
 const EDITS = 20;
 const CUT_TIME = 8_000;
 const CUTS = 5;
@@ -45,19 +45,19 @@
   }
 
   /** Milliseconds until every one of the daemons has the version in force. */
-  async untilInForce(names: readonly string[], version: number) {
+  async measureUntilInForce(names: readonly string[], version: number) {
     const started = performance.now();
     await Promise.all(
       names.map(async (name) => {
         while ((await this.#version(name)) < version) {
-          await sleep(LOOK_EVERY);
+          await sleep(POLL_INTERVAL);
         }
       }),
     );
     return performance.now() - started;
   }
 
-  cut(names: readonly string[], kinds: readonly string[], mode: LinkMode) {
+  setLinks(names: readonly string[], kinds: readonly string[], mode: LinkMode) {
     for (const kind of kinds) {
       for (const name of names) {
         this.#deployment.link(`${kind}${name}`).setMode(mode);
@@ -77,8 +77,8 @@
   for (let edit = 0; edit < EDITS; edit++) {
     const version = await measurement.edit();
     const [nearTime, farTime] = await Promise.all([
-      measurement.untilInForce(measurement.near, version),
-      measurement.untilInForce(measurement.far, version),
+      measurement.measureUntilInForce(measurement.near, version),
+      measurement.measureUntilInForce(measurement.far, version),
     ]);
     near.push(nearTime);
     far.push(farTime);
@@ -90,13 +90,13 @@
   const { near, far } = measurement;
   const times: number[] = [];
   for (let cut = 0; cut < CUTS; cut++) {
-    measurement.cut(far, ["platform<"], LinkMode.Cut);
-    measurement.cut([...near, ...far], ["peers>"], LinkMode.Cut);
+    measurement.setLinks(far, ["platform<"], LinkMode.Cut);
+    measurement.setLinks([...near, ...far], ["peers>"], LinkMode.Cut);
     const version = await measurement.edit();
     await sleep(CUT_TIME);
-    measurement.cut(far, ["platform<"], LinkMode.Pass);
-    measurement.cut([...near, ...far], ["peers>"], LinkMode.Pass);
-    times.push(await measurement.untilInForce(far, version));
+    measurement.setLinks(far, ["platform<"], LinkMode.Pass);
+    measurement.setLinks([...near, ...far], ["peers>"], LinkMode.Pass);
+    times.push(await measurement.measureUntilInForce(far, version));
   }
   return times;
 }
@@ -120,12 +120,12 @@
   });
   await using operator = new Operator(deployment.platformAddress);
   const measurement = new Measurement(deployment, operator);
-  const well = await measureEdits(measurement);
-  print("in_force_nothing_wrong", [...well.near, ...well.far]);
-  measurement.cut(measurement.far, ["platform<"], LinkMode.Cut);
+  const undisturbed = await measureEdits(measurement);
+  print("in_force_nothing_wrong", [...undisturbed.near, ...undisturbed.far]);
+  measurement.setLinks(measurement.far, ["platform<"], LinkMode.Cut);
   const cut = await measureEdits(measurement);
   print("in_force_beside_the_cut_zone", cut.near);
   print("in_force_cut_from_platform_only", cut.far);
-  measurement.cut(measurement.far, ["platform<"], LinkMode.Pass);
+  measurement.setLinks(measurement.far, ["platform<"], LinkMode.Pass);
   print("in_force_after_cut_from_both", await measureCuts(measurement));
 }
--- a/bench/support/counting_relay.ts
+++ b/bench/support/counting_relay.ts
@@ -9,29 +9,29 @@
   close(): void;
 }
 
-/** @param target - the port on 127.0.0.1 that connections are passed on to */
+/** @param targetPort - the port on 127.0.0.1 that connections are passed on to */
 export async function startCountingRelay(
-  target: number,
+  targetPort: number,
 ): Promise<ICountingRelay> {
   let bytes = 0;
   const server = createServer((client) => {
-    const onward = connect(target, "127.0.0.1");
+    const upstream = connect(targetPort, "127.0.0.1");
     // Else small frames wait for delayed acknowledgements, 40 ms a call.
     client.setNoDelay(true);
-    onward.setNoDelay(true);
+    upstream.setNoDelay(true);
     client.on("data", (data) => {
       bytes += data.length;
-      onward.write(data);
+      upstream.write(data);
     });
-    onward.on("data", (data) => {
+    upstream.on("data", (data) => {
       bytes += data.length;
       client.write(data);
     });
     const end = () => {
       client.destroy();
-      onward.destroy();
+      upstream.destroy();
     };
-    for (const socket of [client, onward]) {
+    for (const socket of [client, upstream]) {
       socket.on("close", end);
       socket.on("error", end);
     }
--- a/bench/support/linear_fit.ts
+++ b/bench/support/linear_fit.ts
@@ -29,11 +29,11 @@
   const intercept = meanY - slope * meanX;
   const residual = ({ x, y }: IPoint) => y - intercept - slope * x;
   const spread = sum(({ y }) => (y - meanY) ** 2);
-  const left = sum((point) => residual(point) ** 2);
+  const unexplained = sum((point) => residual(point) ** 2);
   return {
     intercept,
     slope,
-    determination: spread === 0 ? 1 : 1 - left / spread,
+    determination: spread === 0 ? 1 : 1 - unexplained / spread,
     largestResidual: Math.max(
       ...points.map((point) => Math.abs(residual(point))),
     ),
--- a/bench/support/peer_wire.ts
+++ b/bench/support/peer_wire.ts
@@ -22,7 +22,7 @@
 }
 
 /** Plan list versions as piggybacked on each message. */
-export const VERSIONS = Object.values(PlanListName).map((list, index) => ({
+export const LIST_VERSIONS = Object.values(PlanListName).map((list, index) => ({
   list,
   version: 100_000 + index,
 }));
@@ -43,13 +43,13 @@
   const from = { member, incarnation: 0, state: MemberState.Alive };
   const probe: IProbe = {
     message: { from, viewHash: 1, news: [] },
-    versions: VERSIONS,
+    versions: LIST_VERSIONS,
   };
-  const answers = {
+  const handler = {
     handleProbe: () => probe,
   } as unknown as IPeerRequestHandler;
   const plain = new InsecurePeerCredentials();
-  await using server = new GrpcPeerServer(answers, {
+  await using server = new GrpcPeerServer(handler, {
     credentials: plain,
     onForwardedRequest: () => {
       throw new Error("nothing is handed over here");
--- a/src/common/calls/group_choice_test.ts
+++ b/src/common/calls/group_choice_test.ts
@@ -1,16 +1,16 @@
 import { expect } from "chai";
 import {
-  pressedCase,
+  prefillBoundCase,
   largeCase,
   smallCase,
 } from "../../../bench/placing/cases.ts";
 import {
   anyGroup,
   leastInFlight,
-  spreadOwn,
-  unboundedReading,
+  productChoice,
+  unboundedPrefill,
 } from "../../../bench/placing/policies.ts";
-import { playPlacing } from "../../../bench/placing/placing_trial.ts";
+import { simulatePlacing } from "../../../bench/placing/placing_simulation.ts";
 import { chooseGroup } from "./group_choice.ts";
 import type { IGroupLoad } from "./group_choice.ts";
 
@@ -46,9 +46,11 @@
   // while other groups idle.
   for (const scenario of [smallCase(0.7), largeCase(0.7)]) {
     it(`does not herd: ${scenario.name}`, () => {
-      const own = playPlacing(scenario, spreadOwn, SEED);
-      expect(own).to.be.below(playPlacing(scenario, leastInFlight, SEED) / 2);
-      expect(own).to.be.below(playPlacing(scenario, anyGroup, SEED));
+      const own = simulatePlacing(scenario, productChoice, SEED);
+      expect(own).to.be.below(
+        simulatePlacing(scenario, leastInFlight, SEED) / 2,
+      );
+      expect(own).to.be.below(simulatePlacing(scenario, anyGroup, SEED));
     });
   }
 
@@ -99,8 +101,12 @@
   it("keeps a call queued rather than behind many prompts", () => {
     expect(choose([group("a", { ownPrefillTime: 40 })])).to.equal("a");
     expect(choose([group("a", { ownPrefillTime: 50 })])).to.equal(undefined);
-    const bounded = playPlacing(pressedCase(), spreadOwn, SEED);
-    const unbounded = playPlacing(pressedCase(), unboundedReading, SEED);
+    const bounded = simulatePlacing(prefillBoundCase(), productChoice, SEED);
+    const unbounded = simulatePlacing(
+      prefillBoundCase(),
+      unboundedPrefill,
+      SEED,
+    );
     expect(bounded).to.be.below(unbounded);
   });
 
--- a/src/common/decisions/load_cases_test.ts
+++ b/src/common/decisions/load_cases_test.ts
@@ -3,22 +3,25 @@
  * get. `npm run bench -- decisions` measures the same cases against baselines.
  */
 import { expect } from "chai";
-import { capacityOf } from "../../../bench/decisions/capacity.ts";
+import { measureCapacity } from "../../../bench/decisions/capacity.ts";
 import * as cases from "../../../bench/decisions/cases.ts";
-import { RoundRobin, Scheduled } from "../../../bench/decisions/policies.ts";
+import {
+  RoundRobin,
+  SchedulerPolicy,
+} from "../../../bench/decisions/policies.ts";
 import { percentile } from "../../../bench/decisions/results.ts";
-import { World } from "../../../bench/decisions/world.ts";
-import type { IScenario } from "../../../bench/decisions/world.ts";
+import { Simulation } from "../../../bench/decisions/simulation.ts";
+import type { IScenario } from "../../../bench/decisions/simulation.ts";
 
-const CAPACITY = 16 * capacityOf(cases.headlines(100));
+const CAPACITY = 16 * measureCapacity(cases.headlines(100));
 const USUAL = CAPACITY * 0.6;
 
-function play(scenario: IScenario): World {
-  return World.play(scenario, (host) => new Scheduled(host));
+function play(scenario: IScenario): Simulation {
+  return Simulation.run(scenario, (host) => new SchedulerPolicy(host));
 }
 
-function firstToken99(world: World): number {
-  return percentile(world.all.firstTokens, 0.99);
+function firstToken99(simulation: Simulation): number {
+  return percentile(simulation.all.firstTokens, 0.99);
 }
 
 describe("decisions under load", () => {
@@ -33,9 +36,11 @@
   // Guards against refusing accounts within their share while another account
   // sends four fifths of 1.5 times the capacity.
   it("serves accounts within their share while another floods", () => {
-    const world = play(cases.flood(CAPACITY * 1.5));
+    const simulation = play(cases.flood(CAPACITY * 1.5));
     for (const account of [1, 2, 3, 4].map((index) => `steady-${index}`)) {
-      expect(world.resultsOf(account).onTimeShare, account).to.be.above(0.99);
+      expect(simulation.resultsOf(account).onTimeShare, account).to.be.above(
+        0.99,
+      );
     }
   });
 
@@ -59,7 +64,7 @@
   // it is healthy: each request sent there takes five times as long.
   it("keeps the service fast with one slow target", () => {
     const usual = play(cases.scenario([cases.headlines(USUAL)]));
-    const slowed = play(cases.oneTarget(USUAL, cases.fifthOfSpeed));
+    const slowed = play(cases.oneTarget(USUAL, cases.slowFirstTarget));
     const ratio = firstToken99(slowed) / firstToken99(usual);
     expect(ratio).to.be.below(1.1);
     expect(slowed.all.onTimeShare).to.equal(1);
@@ -68,7 +73,7 @@
   // Guards against a target that accepts requests and never answers: callers
   // sent there get nothing until their deadline.
   it("retries elsewhere what a silent target does not answer", () => {
-    const { all } = play(cases.oneTarget(USUAL, cases.goSilent));
+    const { all } = play(cases.oneTarget(USUAL, cases.silenceFirstTarget));
     expect(all.onTimeShare).to.be.above(0.995);
     // Only the few probation requests may wait for it.
     const waited = all.series.filter(
@@ -95,7 +100,7 @@
   // prompts of the most frequent prefix to one target.
   it("sends prompts with the same prefix to targets that have it cached", () => {
     const scenario = cases.hotPrefix(CAPACITY * 0.3);
-    const plain = World.play(scenario, (host) => new RoundRobin(host));
+    const plain = Simulation.run(scenario, (host) => new RoundRobin(host));
     const ratio =
       percentile(play(scenario).all.firstTokens, 0.95) /
       percentile(plain.all.firstTokens, 0.95);
@@ -107,12 +112,12 @@
   // overload the remaining targets.
   it("adds few retries after an outage", () => {
     const span = { from: 20_000, to: 25_000, share: 0.75 };
-    const world = play(cases.outage(CAPACITY * 0.5, span));
-    for (const [second, retries] of world.retriesBySecond.entries()) {
-      const first = world.firstTriesBySecond[second] ?? 0;
+    const simulation = play(cases.outage(CAPACITY * 0.5, span));
+    for (const [second, retries] of simulation.retriesBySecond.entries()) {
+      const first = simulation.firstAttemptsBySecond[second] ?? 0;
       expect(retries ?? 0, `second ${second}`).to.be.at.most(first * 0.1 + 6);
     }
-    expect(world.all.onTimeShare).to.be.above(0.95);
+    expect(simulation.all.onTimeShare).to.be.above(0.95);
   });
 
   // Guards against a wave: half the targets return empty, so every daemon sees
@@ -130,7 +135,7 @@
   it("refuses well before the deadline", () => {
     const { all } = play(cases.flood(CAPACITY * 1.5));
     const { deadline } = cases.HEADLINE;
-    expect(Math.max(...all.refusedAfter)).to.be.below(deadline / 2);
-    expect(percentile(all.refusedAfter, 0.8)).to.equal(0);
+    expect(Math.max(...all.refusalDelays)).to.be.below(deadline / 2);
+    expect(percentile(all.refusalDelays, 0.8)).to.equal(0);
   });
 });
