--- a/bench/control_bench.ts
+++ b/bench/control_bench.ts
@@ -1,7 +1,7 @@
 /**
- * Idle daemons as real processes: what each costs in processor time and
- * memory, and what all together ask of the platform, at rest, in an outage and
- * in the time after. Run `npm run build` first: it starts what is in dist/.
+ * Processor time and memory of idle daemons as real processes, and their calls
+ * to the platform at rest, during an outage and after it. Run `npm run build`
+ * first, since the processes are started from dist/.
  */
 import { readFileSync } from "node:fs";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -11,7 +11,7 @@
 import { printFit, round } from "./support/linear_fit.ts";
 import type { IPoint } from "./support/linear_fit.ts";
 
-/** Daemons and engines a zone, in two zones; under 40 processes in all. */
+/** Daemons and engines per zone, in two zones; below 40 processes in all. */
 const SIZES: readonly { readonly daemons: number; readonly engines: number }[] =
   [
     { daemons: 1, engines: 4 },
@@ -20,12 +20,15 @@
     { daemons: 6, engines: 4 },
   ];
 const ZONES: readonly string[] = ["vn-north-a", "vn-north-b"];
+/** Milliseconds until daemons are at rest. */
 const SETTLE = 5_000;
+/** Milliseconds. */
 const MEASURED = 10_000;
+/** Milliseconds that each of the outage and the time after it is measured. */
 const OUTAGE = 15_000;
 const DAEMONS_AT_TARGET = 330;
 
-/** Clock ticks a second in /proc/PID/stat. */
+/** Clock ticks per second in /proc/PID/stat. */
 const TICKS_PER_SECOND = 100;
 const PAGE_KILOBYTES = 4;
 
@@ -114,7 +117,7 @@
     (count - (before[key] ?? 0)) / (duration / 1_000),
   ]);
   return Object.fromEntries(
-    // What waits is a level and no rate.
+    // The number of waiting calls is a level, so it has no rate.
     rates.filter(([key]) => !String(key).startsWith("waiting")),
   ) as Counts;
 }
--- a/bench/decisions/capacity.ts
+++ b/bench/decisions/capacity.ts
@@ -1,18 +1,20 @@
-/** What the model's targets can serve at most: every batch always full. */
+/** The highest throughput of a simulated target, whose batch is always full. */
 import { EventQueue } from "./event_queue.ts";
 import { SimulatedTarget } from "./simulated_target.ts";
 import type { IFlow } from "./trace.ts";
 import { generateTrace } from "./trace.ts";
 import { seededRandom } from "./simulation.ts";
 
+/** Milliseconds before responses are counted. */
 const WARM_UP = 30_000;
+/** Milliseconds. */
 const DURATION = 90_000;
-/** Starts are spread, so that answers do not all end together, ms. */
+/** Milliseconds between starts, so that responses do not all end at once. */
 const START_INTERVAL = 100;
 const FULL_BATCH = 64;
 const SEED = 3;
 
-/** Whole answers a second of one target that never lacks work. */
+/** Complete responses per second of one target that always has work. */
 export function measureCapacity(flow: IFlow): number {
   const events = new EventQueue();
   const target = new SimulatedTarget("target", events);
--- a/bench/decisions/cases.ts
+++ b/bench/decisions/cases.ts
@@ -1,4 +1,4 @@
-/** The load cases, each with what happens and when. */
+/** The load cases, with the events of each and their times. */
 import { Behaviour } from "./simulated_target.ts";
 import type { IFlow, ITraceEntry } from "./trace.ts";
 import { generateTrace } from "./trace.ts";
@@ -10,10 +10,10 @@
 const TRACE_SEED = 1;
 const RUN_SEED = 2;
 
-/** Length of most cases, milliseconds. */
+/** Duration of most cases, milliseconds. */
 export const DURATION = 60_000;
 
-/** Short requests, as editors and subscribers make them. */
+/** Short requests, as editors and subscribers send them. */
 export const HEADLINE: Omit<IFlow, "rate"> = {
   account: "desk",
   priority: 5,
@@ -36,7 +36,7 @@
   return { ...HEADLINE, account, rate: () => rate };
 }
 
-/** A scenario of the usual size. */
+/** A scenario with the default numbers of targets and daemons. */
 export function scenario(
   flows: readonly IFlow[],
   rest: Partial<IScenario> = {},
@@ -65,7 +65,7 @@
   ]);
 }
 
-/** One account makes 80% of the load, four others the rest. */
+/** One account sends 80% of the load, four others the rest. */
 export function flood(rate: number): IScenario {
   const others = [1, 2, 3, 4].map((index) =>
     headlines(rate * 0.05, `steady-${index}`),
@@ -80,7 +80,7 @@
   return scenario(hasLong ? [short, long] : [short], { duration: 120_000 });
 }
 
-/** One prefix begins a fifth of the requests, a hundred others the rest. */
+/** A fifth of the requests share one prefix, the rest a hundred others. */
 export function hotPrefix(rate: number): IScenario {
   const prompt = { promptTokens: 2_000 };
   return scenario([
@@ -89,7 +89,7 @@
   ]);
 }
 
-/** One target changes its ways at 10 s. */
+/** One target changes its behaviour after 10 s. */
 export function oneTarget(
   rate: number,
   change: (simulation: Simulation) => void,
@@ -100,17 +100,17 @@
   });
 }
 
-/** The first target at a fifth of its speed. */
+/** Slows the first target down to a fifth of its speed. */
 export function slowFirstTarget(simulation: Simulation): void {
   simulation.targets[0]?.setSlowness(5);
 }
 
-/** The first target accepts and never answers. */
+/** Makes the first target accept requests without ever answering. */
 export function silenceFirstTarget(simulation: Simulation): void {
   simulation.targets[0]?.setBehaviour(Behaviour.Silent);
 }
 
-/** A share of the targets is away between two times. */
+/** A share of the targets is unreachable between two times, milliseconds. */
 export function outage(
   rate: number,
   span: { readonly from: number; readonly to: number; readonly share: number },
--- a/bench/decisions/event_queue.ts
+++ b/bench/decisions/event_queue.ts
@@ -1,4 +1,4 @@
-/** A fake clock: events run in order of time, ties in order of scheduling. */
+/** A fake clock. Events run in order of time, ties in order of scheduling. */
 
 interface IEvent {
   readonly at: number;
@@ -6,13 +6,13 @@
   readonly run: () => void;
 }
 
-/** Events to come, and the time of the one that runs. */
+/** Pending events in a binary heap, and the time of the current one. */
 export class EventQueue {
   readonly #heap: IEvent[] = [];
   #sequence = 0;
   #now = 0;
 
-  /** Milliseconds. */
+  /** Time of the current event, milliseconds. */
   get now(): number {
     return this.#now;
   }
@@ -27,7 +27,7 @@
     this.scheduleAt(this.#now + delay, run);
   }
 
-  /** Runs all events before the end, milliseconds. */
+  /** Runs all events before a time, milliseconds. */
   runUntil(end: number): void {
     for (;;) {
       const first = this.#heap[0];
--- a/bench/decisions/policies.ts
+++ b/bench/decisions/policies.ts
@@ -1,4 +1,4 @@
-/** The decisions under measurement, and the plain baselines. */
+/** The project's scheduler as a policy, and simple policies as baselines. */
 import { RetryBudget } from "../../src/common/decisions/retry_budget.ts";
 import {
   ScheduleActionKind,
@@ -12,39 +12,39 @@
 import { TargetHealth } from "../../src/common/decisions/outlier_detector.ts";
 import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 
-/** What a policy may do. */
+/** The environment in which a policy decides. */
 export interface IPolicyHost {
   readonly now: number;
-  /** How many daemons there are. */
+  /** Number of daemons. */
   readonly daemons: number;
   readonly random: () => number;
-  /** Sends work; it must not be running already. */
+  /** Sends work, which must not be running already. */
   send(work: IWorkItem, target: string): void;
   refuse(work: IWorkItem, retryAfter: number): void;
-  /** Calls back after a delay in milliseconds. */
+  /** Runs a callback after a delay, milliseconds. */
   after(delay: number, callback: () => void): void;
-  /** Takes work back from where it runs. */
+  /** Cancels work at the target that runs it. */
   cancel(work: IWorkItem): void;
 }
 
-/** What decides in one daemon. */
+/** The scheduling decisions of one daemon. */
 export interface IPolicy {
   submit(work: IWorkItem): void;
   updateReports(targets: readonly ITargetLoadReport[]): void;
   onToken(work: IWorkItem): void;
-  /** The answer is whole with so many tokens, or the caller has left. */
+  /** @param tokens - length of the response; null if it is not complete */
   onFinished(work: IWorkItem, tokens: number | null): void;
   onFailure(work: IWorkItem): void;
   tick(): void;
 }
 
-/** Tries of a request in every policy. */
+/** Attempts per request, under every policy. */
 const MAXIMUM_ATTEMPTS = 3;
 
-/** When a caller may come back whose tries have all failed, ms. */
+/** Milliseconds after which a caller may retry when all attempts failed. */
 const RETRY_AFTER = 1_000;
 
-/** The project's decisions. */
+/** Decides with the project's scheduler and retry budget. */
 export class SchedulerPolicy implements IPolicy {
   readonly #host: IPolicyHost;
   readonly #scheduler = new ServiceScheduler();
@@ -101,7 +101,7 @@
     });
   }
 
-  /** Requests at a target that has gone silent are tried elsewhere. */
+  /** Retries requests elsewhere whose target has stopped answering. */
   tick(): void {
     this.#apply(this.#scheduler.advance(this.#host.now));
     for (const [work, tracked] of this.#trackedRequests) {
@@ -115,7 +115,7 @@
     }
   }
 
-  /** The work as routing sees it. */
+  /** The work as it is passed to routing. */
   protected routedWork(work: IWorkItem): IWorkItem {
     return work;
   }
@@ -168,14 +168,14 @@
   }
 }
 
-/** The decisions, but blind to what prompts have in common. */
+/** The project's scheduler without prefix affinity. */
 export class SchedulerWithoutAffinity extends SchedulerPolicy {
   protected override routedWork(work: IWorkItem): IWorkItem {
     return { ...work, prefix: "" };
   }
 }
 
-/** FIFO without limit: all work is sent at once, and retried at once. */
+/** Sends and retries all work at once, without a limit. */
 abstract class UnlimitedPolicy implements IPolicy {
   readonly host: IPolicyHost;
   targets: readonly ITargetLoadReport[] = [];
@@ -219,7 +219,7 @@
   tick(): void {}
 }
 
-/** One target after the other. */
+/** Chooses the targets in turn. */
 export class RoundRobin extends UnlimitedPolicy {
   #next = 0;
 
@@ -229,7 +229,7 @@
   }
 }
 
-/** The target with the least in flight by its last report. */
+/** Chooses the target with the lowest load in its last report. */
 export class LeastReportedLoad extends UnlimitedPolicy {
   override choose(): string | null {
     let best: ITargetLoadReport | null = null;
--- a/bench/decisions/results.ts
+++ b/bench/decisions/results.ts
@@ -1,39 +1,39 @@
-/** What callers got, by account. */
+/** Measurements from the callers' point of view, by account. */
 
-/** Times and counts of one account, or of all. */
+/** Times in milliseconds and counts, of one account or of all. */
 export class Results {
   offered = 0;
   onTime = 0;
   late = 0;
   failed = 0;
   refused = 0;
-  /** Tokens generated for answers nobody received whole and on time. */
+  /** Tokens of responses that were not received complete and on time. */
   wastedTokens = 0;
   usefulTokens = 0;
   readonly firstTokens: number[] = [];
   readonly tokenGaps: number[] = [];
   readonly responseTimes: number[] = [];
-  /** How long after arrival a refusal was told. */
+  /** Times from arrival to refusal. */
   readonly refusalDelays: number[] = [];
-  /** Moments of arrival and first-token times, for looking at a span. */
+  /** Arrival times with times to the first token, to evaluate an interval. */
   readonly series: { readonly at: number; readonly firstToken: number }[] = [];
 
-  /** Moments of whole answers on time. */
+  /** When responses were completed on time. */
   readonly completionTimes: number[] = [];
 
-  /** Whole answers on time a second in a span, milliseconds. */
+  /** Complete responses on time per second, in an interval in milliseconds. */
   goodput(from: number, to: number): number {
     const inSpan = this.completionTimes.filter((at) => at >= from && at < to);
     return inSpan.length / ((to - from) / 1_000);
   }
 
-  /** Share of the offered requests answered whole and on time. */
+  /** Share of the offered requests answered completely and on time. */
   get onTimeShare(): number {
     return this.offered === 0 ? 1 : this.onTime / this.offered;
   }
 }
 
-/** The value below which a share of the values lie. */
+/** The value below which a share of the values lie, or NaN without values. */
 export function percentile(values: readonly number[], share: number): number {
   if (values.length === 0) {
     return Number.NaN;
--- a/bench/decisions/routing_cost.ts
+++ b/bench/decisions/routing_cost.ts
@@ -1,4 +1,4 @@
-/** What one routing decision costs. */
+/** Processor cost of a routing decision. */
 import { RunTimeEstimator } from "../../src/common/decisions/run_time_estimator.ts";
 import { TargetTracker } from "../../src/common/decisions/target_tracker.ts";
 import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
@@ -7,7 +7,7 @@
 const DECISIONS = 100_000;
 const SEED = 4;
 
-/** Microseconds for one decision over so many targets. */
+/** Microseconds per decision among a number of targets. */
 export function measureRoutingCost(targets: number): number {
   const random = seededRandom(SEED);
   const tracker = new TargetTracker(new RunTimeEstimator());
--- a/bench/decisions/simulated_target.ts
+++ b/bench/decisions/simulated_target.ts
@@ -1,28 +1,28 @@
 /**
- * A target with continuous batching, as a model: each step gives one token to
- * every request that is past its prompt, and reads a bounded part of others. The
- * numbers are of no particular machine; they are chosen so that the users' 58
- * ms between tokens are reached at about 32 requests.
+ * A model of a target with continuous batching. Each step generates one token
+ * for every request whose prompt is prefilled, and prefills a bounded number of
+ * tokens of the others. The numbers describe no particular machine; with them,
+ * the users' 58 ms between tokens are reached at about 32 requests.
  */
 import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 import type { EventQueue } from "./event_queue.ts";
 
-/** One step with nothing to do but start, milliseconds. */
+/** Fixed duration of a step, milliseconds. */
 const STEP = 25;
-/** Added for each request that gets a token, milliseconds. */
+/** Added for each request that generates a token, milliseconds. */
 const STEP_PER_REQUEST = 1;
-/** Added for each prompt token read, milliseconds. */
+/** Added for each prefilled token, milliseconds. */
 const STEP_PER_PROMPT_TOKEN = 0.05;
-/** Prompt tokens read in one step, of one prompt or several. */
+/** Tokens prefilled in one step, of one prompt or several. */
 const PROMPT_BUDGET = 512;
-/** Requests that fit in memory; the others wait inside the target. */
+/** Requests that fit in memory; the target queues the others. */
 const MAXIMUM_BATCH = 64;
-/** Prompts whose beginning is kept. */
+/** Prefixes in the cache; the least recently used is evicted. */
 const CACHED_PREFIXES = 16;
-/** Share of a prompt that its prefix covers. */
+/** Share of a prompt that belongs to its prefix. */
 const PREFIX_SHARE = 0.8;
 
-/** What a request tells whoever sent it. */
+/** Receives the progress of one request. */
 export interface IResponseListener {
   onToken(isLast: boolean): void;
   onFailure(): void;
@@ -37,16 +37,16 @@
   isCancelled: boolean;
 }
 
-/** How a target behaves; may change while it runs. */
+/** How a target behaves, which may change during a run. */
 export enum Behaviour {
   Serving = "serves",
-  /** Accepts and never answers. */
+  /** Accepts requests and never answers. */
   Silent = "silent",
-  /** Refuses connections and has lost what it ran. */
+  /** Refuses connections and has lost its requests. */
   Unreachable = "away",
 }
 
-/** One target of the model. */
+/** One simulated target. */
 export class SimulatedTarget {
   readonly id: string;
   readonly #events: EventQueue;
@@ -56,7 +56,7 @@
   #queued: IAcceptedRequest[] = [];
   #isStepping = false;
   readonly #cachedPrefixes = new Set<string>();
-  /** Tokens generated, also those nobody received. */
+  /** All generated tokens, including those that nobody received. */
   generatedTokens = 0;
 
   constructor(id: string, events: EventQueue) {
@@ -64,7 +64,7 @@
     this.#events = events;
   }
 
-  /** Requests running and queued. */
+  /** Number of running and queued requests. */
   get load(): number {
     return this.#running.length + this.#queued.length;
   }
@@ -73,7 +73,7 @@
     return this.#behaviour;
   }
 
-  /** Steps take this many times as long. */
+  /** Multiplies the duration of each step by a factor. */
   setSlowness(slowness: number): void {
     this.#slowness = slowness;
   }
@@ -92,7 +92,7 @@
     this.#step();
   }
 
-  /** Accepts a request; the result cancels it. */
+  /** Accepts a request and returns a function that cancels it. */
   accept(
     work: IWorkItem,
     tokens: number,
@@ -167,7 +167,7 @@
     });
   }
 
-  /** Reads prompts in order of arrival; returns the tokens read. */
+  /** Prefills prompts in order of arrival; returns the number of tokens. */
   #prefill(): number {
     let budget = PROMPT_BUDGET;
     for (const request of this.#running) {
--- a/bench/decisions/simulation.ts
+++ b/bench/decisions/simulation.ts
@@ -1,4 +1,4 @@
-/** Plays a trace through daemons and targets on a fake clock. */
+/** Runs a trace through daemons and targets on a fake clock. */
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
@@ -8,23 +8,25 @@
 import { Results } from "./results.ts";
 import type { ITraceEntry } from "./trace.ts";
 
-/** Time from a report's moment to the daemons, milliseconds. */
+/** Milliseconds from a report's creation until daemons receive it. */
 const REPORT_LAG = 1_000;
+/** Mean milliseconds between the reports of a target. */
 const REPORT_INTERVAL = 1_000;
+/** Milliseconds. */
 const TICK_INTERVAL = 50;
-/** Time after the last arrival in which answers still come. */
+/** Milliseconds after the last arrival in which responses may still end. */
 const DRAIN_TIME = 70_000;
 
-/** What is played. */
+/** The load, the deployment and the faults of a simulation. */
 export interface IScenario {
   readonly trace: readonly ITraceEntry[];
   readonly duration: number;
   readonly targets: number;
   readonly daemons: number;
   readonly seed: number;
-  /** Reports that are always of now, as an oracle would have them. */
+  /** Whether reports always show the current load, as an oracle sees it. */
   readonly freshReports?: boolean;
-  /** What happens to targets, and when. */
+  /** Schedules changes of the targets. */
   readonly prepare?: (simulation: Simulation) => void;
 }
 
@@ -39,7 +41,7 @@
   isClosed: boolean;
 }
 
-/** Random numbers from a seed, in [0, 1). */
+/** Returns a generator of random numbers in [0, 1). */
 export function seededRandom(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   return () => uniformFloat64(generator);
@@ -51,7 +53,7 @@
   readonly targets: readonly SimulatedTarget[];
   readonly all = new Results();
   readonly accounts = new Map<string, Results>();
-  /** Second and later tries sent to targets, by second. */
+  /** Second and later attempts sent to targets, by second. */
   readonly retriesBySecond: number[] = [];
   readonly firstAttemptsBySecond: number[] = [];
   readonly #scenario: IScenario;
@@ -127,7 +129,7 @@
     }
   }
 
-  /** Targets that refuse connections leave the list when polled. */
+  /** Polling removes targets that refuse connections from the list. */
   #isListed(index: number): boolean {
     return this.targets[index]?.behaviour !== Behaviour.Unreachable;
   }
@@ -238,7 +240,7 @@
     request.policy.onFinished(work, tokens);
   }
 
-  /** The deadline has passed: the caller leaves with nothing. */
+  /** The deadline has passed, so the caller leaves without a response. */
   #handleDeadline(work: IWorkItem): void {
     const request = this.#openRequests.get(work);
     if (request === undefined) {
--- a/bench/decisions/trace.ts
+++ b/bench/decisions/trace.ts
@@ -1,30 +1,30 @@
-/** Requests to play, made from a seed. */
+/** Request traces generated from a seed. */
 import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 
-/** A request and how many tokens its answer really has. */
+/** A request and the actual number of tokens of its response. */
 export interface ITraceEntry {
   readonly work: IWorkItem;
   readonly tokens: number;
 }
 
-/** Requests of one account and kind. */
+/** A stream of similar requests of one account. */
 export interface IFlow {
   readonly account: string;
   readonly priority: number;
   readonly promptTokens: number;
   readonly askedTokens: number;
-  /** Requests a second at a time, milliseconds. */
+  /** Requests per second at a time in milliseconds. */
   readonly rate: (time: number) => number;
-  /** Milliseconds. */
+  /** Milliseconds after arrival. */
   readonly deadline: number;
-  /** How many different prefixes; 0 for none. */
+  /** Number of different prefixes; 0 for none. */
   readonly prefixes?: number;
 }
 
-/** Answers are this share of what was asked at least. */
+/** Least share of the asked tokens that a response has. */
 const SHORTEST_ANSWER = 0.6;
 
-/** Poisson arrivals of all flows, in order of time. */
+/** Poisson arrivals of all flows in order of time, by thinning. */
 export function generateTrace(
   flows: readonly IFlow[],
   duration: number,
--- a/bench/decisions_bench.ts
+++ b/bench/decisions_bench.ts
@@ -1,6 +1,7 @@
 /**
- * The decisions under load against plain baselines, each case on one trace and
- * seed: `npm run bench -- decisions [CASE...]`. See docs/DECISIONS.md.
+ * Compares the scheduler with simple baselines under load, each case with the
+ * same trace and seed: `npm run bench -- decisions [CASE...]`. See
+ * docs/DECISIONS.md.
  */
 import { measureCapacity } from "./decisions/capacity.ts";
 import * as cases from "./decisions/cases.ts";
@@ -26,13 +27,13 @@
   ["least reported", (host) => new LeastReportedLoad(host)],
 ];
 
-/** Requests a second that all targets of the usual size serve at most. */
+/** Requests per second that the default number of targets serves at most. */
 const CAPACITY = 16 * measureCapacity(cases.headlines(100));
 
-/** Goodput is counted from here on, milliseconds. */
+/** Milliseconds before goodput is counted. */
 const WARM_UP = 10_000;
 
-/** Load at which nothing is scarce. */
+/** Requests per second at which no resource is scarce. */
 const USUAL_RATE = CAPACITY * 0.6;
 
 function print(name: string, value: number | string, unit = ""): void {
@@ -68,7 +69,7 @@
   );
 }
 
-/** Plays every policy and prints what its callers got. */
+/** Runs a scenario under every policy and prints the results. */
 function compare(scenario: IScenario): ReadonlyMap<string, Simulation> {
   const simulations = new Map<string, Simulation>();
   for (const [name, create] of POLICIES) {
--- a/bench/digests_bench.ts
+++ b/bench/digests_bench.ts
@@ -1,9 +1,8 @@
 /**
- * Digests of targets' reports in one zone: real boards, the choice of peers as
- * the service makes it, and real encoding, with what a call costs beyond its
- * messages taken from a real connection. Played with loads that change at each
- * poll and with loads at rest, and against a plain baseline that sends every
- * report in each answer.
+ * Digests of targets' reports in one zone, with the real digest tables, choice
+ * of peers and encoding; the overhead of a call is measured on a real
+ * connection. Runs with loads that change at each poll and with constant loads,
+ * and against a baseline that sends every report in each response.
  */
 import { peerApi } from "../src/adapters/peers/peer_api.ts";
 import { writeDigestRow } from "../src/adapters/peers/peer_messages.ts";
@@ -22,7 +21,7 @@
 import type { IPoint } from "./support/linear_fit.ts";
 import { measureCallCost } from "./support/peer_wire.ts";
 
-/** Daemons and targets of one zone: today's, in between, and the target's. */
+/** Daemons and targets of one zone: today's, intermediate and target sizes. */
 const ZONES: readonly { readonly daemons: number; readonly targets: number }[] =
   [
     { daemons: 2, targets: 21 },
@@ -31,11 +30,13 @@
     { daemons: 37, targets: 255 },
     { daemons: 37, targets: 1_020 },
   ];
+/** Milliseconds between rounds; a daemon polls and pulls once in each. */
 const PERIOD = 500;
+/** Daemons that poll each target. */
 const POLLERS = 2;
 const SETTLE_ROUNDS = 14;
 const ROUNDS = 24;
-/** The baseline sends everything each time: a few rounds show it. */
+/** The baseline sends everything in each round, so a few rounds suffice. */
 const BASELINE_ROUNDS = 4;
 const TARGETS_AT_TARGET = 255;
 
@@ -51,9 +52,9 @@
 
 interface IMeasured {
   readonly bytes: number;
-  /** Microseconds of processor time a second, a daemon, without the calls. */
+  /** Processor microseconds per second and daemon, without the calls. */
   readonly time: number;
-  /** Ages of reports over daemons and targets, milliseconds. */
+  /** Ages of the reports of all targets at all daemons, milliseconds. */
   readonly ages: readonly number[];
   readonly polls: number;
 }
--- a/bench/groups_bench.ts
+++ b/bench/groups_bench.ts
@@ -1,7 +1,7 @@
 /**
- * From a member's death to its group serving again, in real processes, the
- * parts apart, with and without a warm spare; then what the number of spares
- * costs under both deployments' weights: `npm run bench -- groups`.
+ * Time from a member's death until its group serves again, by phase, in real
+ * processes with and without a warm spare; then the cost of the number of
+ * spares under the weights of both deployments: `npm run bench -- groups`.
  */
 import { performance } from "node:perf_hooks";
 import { request } from "undici";
@@ -15,26 +15,27 @@
 } from "../test/support/group_checks.ts";
 import { waitFor } from "../test/support/process_handle.ts";
 
-/** The stand-in's load; real weights take minutes, which only adds to it. */
+/** Milliseconds that the stand-in loads; real weights add minutes. */
 const LOAD_TIME = 2_000;
 const ROUNDS = 5;
-/** How long the platform takes to bring another instance, in the trial. */
+/** Milliseconds until the platform starts a replacement without a spare. */
 const RETURN_TIME = 5_000;
+/** Milliseconds. */
 const POLL_EVERY = 10;
 
-/** Milliseconds from a member's death until each part was done. */
+/** Milliseconds from a member's death until the end of each phase. */
 interface IRecoveryTimes {
   /** Every daemon has stopped sending to the group. */
   readonly notice: number;
-  /** The record names the next generation: silence, decision and write. */
+  /** The record has the next generation: silence, decision and write. */
   readonly write: number;
-  /** The last member has obeyed its order. */
+  /** The last member has carried out its order. */
   readonly order: number;
   /** Every daemon sees the group complete. */
   readonly serve: number;
 }
 
-/** The default settings' silence bounds, so that figures are the product's. */
+/** Time bounds of the default settings, so that figures match the product. */
 const DEFAULT_GROUPS = {
   lease: "5s",
   takeover_margin: "2s",
@@ -50,7 +51,7 @@
   const bound = start + 60_000;
   while (!(await condition())) {
     if (performance.now() > bound) {
-      throw new Error("the group did not come back within a minute");
+      throw new Error("the group did not recover within a minute");
     }
     await new Promise((done) => setTimeout(done, POLL_EVERY));
   }
@@ -67,13 +68,13 @@
     const { groups } = await deployment.status(daemon);
     return groups.every((group) => group.complete);
   };
-  const all = async (wanted: boolean) => {
+  const allReport = async (wanted: boolean) => {
     const seen = await Promise.all(daemons.map(isComplete));
     return seen.every((complete) => complete === wanted);
   };
   const start = performance.now();
   deployment.process(before?.members[1] ?? "").signal("SIGKILL");
-  const notice = await measureUntil(start, () => all(false));
+  const notice = await measureUntil(start, () => allReport(false));
   if (!options.hasSpare) {
     const left = RETURN_TIME - (performance.now() - start);
     await new Promise((done) => setTimeout(done, left));
@@ -92,7 +93,7 @@
     );
     return states.every((state) => state > generation);
   });
-  const serve = await measureUntil(start, () => all(true));
+  const serve = await measureUntil(start, () => allReport(true));
   return { notice, write, order, serve };
 }
 
@@ -119,7 +120,7 @@
     groupPlan({
       enginesPerZone: 4 + spares,
       engineArguments: ["--load-time", String(LOAD_TIME)],
-      // Fixed, so that every engine beyond the one group is a spare.
+      // Fixed, so that every engine outside the one group is a spare.
       groups: { ...DEFAULT_GROUPS, spare_share: hasSpare ? 0.5 : 0 },
       polling: {},
     }),
@@ -160,7 +161,7 @@
 
 const HOUR = 3_600_000;
 
-/** What each weighing chooses, and what the other number would cost. */
+/** Prints the choice by each deployment's weights and by the opposite ones. */
 function compareSpareCounts(healTime: number): void {
   const cases = [
     { name: "song_lam", down: 100, stranded: 1, returnTime: 8 * HOUR },
@@ -190,7 +191,7 @@
   }
 }
 
-/** Runs both trials, then the comparison by the measured heal time. */
+/** Measures recovery, then compares spare counts by the measured heal time. */
 export async function run(): Promise<void> {
   const withSpare = await measureRecovery(true);
   const without = await measureRecovery(false);
--- a/bench/instance_list_bench.ts
+++ b/bench/instance_list_bench.ts
@@ -1,6 +1,6 @@
 /**
- * Bytes of reading the list of instances, whole each time and only when it
- * has changed, by number of instances.
+ * Bytes per read of the instance list by number of instances, when the whole
+ * list is sent and when an unchanged list is not sent again.
  */
 import { HttpPlatform } from "../src/adapters/platform/http_platform.ts";
 import { splitAddress } from "../src/adapters/listen.ts";
@@ -15,10 +15,10 @@
 
 interface IReading {
   readonly instances: number;
-  /** Bytes of a read, both directions, headers included. */
+  /** Bytes per read in both directions, including headers. */
   readonly whole: number;
   readonly unchanged: number;
-  /** Processor time of a read at both ends, milliseconds. */
+  /** Processor time per read at both ends, milliseconds. */
   readonly wholeTime: number;
   readonly unchangedTime: number;
 }
@@ -85,7 +85,7 @@
   };
 }
 
-/** A new client each time holds no list, so that it is sent whole. */
+/** Reads with a new client each time, which has no list to compare with. */
 async function readWhole(
   origin: string,
   read: (platform: HttpPlatform) => Promise<{ bytes: number; time: number }>,
--- a/bench/main.ts
+++ b/bench/main.ts
@@ -1,7 +1,7 @@
-/** `npm run bench -- NAME`: runs one measurement by its file's name. */
+/** `npm run bench -- NAME` runs the benchmark in NAME_bench.ts. */
 import { readdirSync } from "node:fs";
 
-/** A measurement: prints one figure a line, the ratio first. */
+/** A benchmark, which prints one figure per line, the ratio first. */
 export interface IBenchmark {
   run(options: readonly string[]): Promise<void>;
 }
--- a/bench/membership_bench.ts
+++ b/bench/membership_bench.ts
@@ -1,8 +1,8 @@
 /**
- * Membership in one zone of 6 to 330 daemons: real state machines and real
- * encoding on a network in memory, with what a call costs beyond its messages
- * taken from a real connection. A zone of the target size has 37 daemons; the
- * larger ones show that bytes do not grow with the fleet.
+ * Membership in one zone of 6 to 330 daemons, with the real state machines and
+ * encoding on a simulated network; the overhead of a call is measured on a real
+ * connection. A zone of the target size has 37 daemons; the larger ones show
+ * that bytes do not grow with the number of daemons.
  */
 import { XxhashHash } from "../src/adapters/hash/xxhash_hash.ts";
 import { MemberState } from "../src/common/membership/types.ts";
@@ -18,25 +18,30 @@
 } from "./support/peer_wire.ts";
 
 const SIZES: readonly number[] = [6, 24, 37, 96, 330];
-/** Until the news of all that joined at once is told out, for each node. */
+/** Milliseconds per node until the news of the initial joins is spread. */
 const SETTLE = 1_500;
+/** Milliseconds. */
 const MEASURED = 30_000;
 const DEATHS = 12;
+/** Resolution of the time until a death is known, milliseconds. */
 const DEATH_STEP = 50;
+/** Milliseconds. */
 const DEATH_TIMEOUT = 60_000;
 const ZONE_AT_TARGET = 37;
 
 const hash = await XxhashHash.create();
 
 interface IMeasured {
-  /** A second, a node: calls made, and bytes of messages sent. */
+  /** Calls made and message bytes sent, per second and node. */
   readonly calls: number;
   readonly bytes: number;
-  /** Microseconds of processor time a second, a node, with the network. */
+  /** Processor microseconds per second and node, including the network. */
   readonly time: number;
+  /** Bytes per node. */
   readonly heap: number;
-  /** Milliseconds until every other knows of a death. */
+  /** Milliseconds until all other nodes know of a death. */
   readonly deaths: readonly number[];
+  /** Largest number of live daemons that some node held dead. */
   readonly held: number;
 }
 
@@ -53,8 +58,8 @@
   >;
   for (const size of SIZES) {
     const measured = measureZone(size, 0);
-    // A call has two ends: each node sends half of all messages' bytes and
-    // bears half of the overhead for the calls it makes and those it answers.
+    // A call has two ends: each node sends half of all message bytes and has
+    // half of the overhead of the calls that it makes and answers.
     const bytes = measured.bytes + measured.calls * cost.overheadBytes;
     const time = measured.time + measured.calls * cost.processorTime;
     const worst = Math.max(...measured.deaths);
--- a/bench/path_bench.ts
+++ b/bench/path_bench.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench -- path`: what a daemon adds to a call, against a direct
- * connection to the same stand-in in the same run, with real processes.
+ * `npm run bench -- path` measures the latency that a daemon adds to a call,
+ * compared with a direct connection to the same stand-in in the same run, with
+ * real processes.
  */
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -12,12 +13,14 @@
 
 const ZONE = "vn-north-a";
 const DAEMON = `daemon-${ZONE}-0`;
+/** Calls per second. */
 const RATE = 350;
 const CALLS = 5_000;
 const MEMORY_CALLS = 20_000;
+/** Microseconds per millisecond. */
 const MICROSECONDS = 1_000;
 
-/** Sends calls at a rate, whether or not earlier ones are answered. */
+/** Sends calls at a fixed rate, regardless of unanswered ones. */
 async function sendAtRate(
   calls: number,
   call: () => Promise<void>,
@@ -63,12 +66,12 @@
     const answer = await pool.request({ method: "POST", path, headers, body });
     await answer.body.dump();
     if (answer.statusCode !== 200) {
-      throw new Error(`${path} answered ${answer.statusCode}`);
+      throw new Error(`${path} returned status ${answer.statusCode}`);
     }
   };
 }
 
-/** Prints what a daemon adds, and its memory. */
+/** Prints the latency that a daemon adds, and its memory. */
 export async function run(): Promise<void> {
   await using deployment = await Deployment.start({
     example: "song_lam",
@@ -100,13 +103,13 @@
   await sleep(1_000);
   await sendAtRate(1_000, callDirectly);
   await sendAtRate(1_000, callThroughDaemon);
-  const base = await sendAtRate(CALLS, callDirectly);
-  const added = await sendAtRate(CALLS, callThroughDaemon);
+  const directTimes = await sendAtRate(CALLS, callDirectly);
+  const daemonTimes = await sendAtRate(CALLS, callThroughDaemon);
   for (const percentile of [50, 99]) {
-    const ours = milliseconds(added, percentile);
-    const theirs = milliseconds(base, percentile);
-    const ratio = (ours / theirs).toFixed(2);
-    const more = (ours - theirs).toFixed(2);
+    const throughDaemon = milliseconds(daemonTimes, percentile);
+    const directly = milliseconds(directTimes, percentile);
+    const ratio = (throughDaemon / directly).toFixed(2);
+    const more = (throughDaemon - directly).toFixed(2);
     console.log(`buffered p${percentile} ratio ${ratio}, added ${more} ms`);
   }
   for (let half = 1; half <= 2; half++) {
--- a/bench/placing/cases.ts
+++ b/bench/placing/cases.ts
@@ -1,4 +1,4 @@
-/** Loads to place: a small and a large model by the published figures. */
+/** Placing cases with a small and a large model, from published figures. */
 import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
 import type { IPlacingCase } from "./placing_simulation.ts";
 
@@ -36,11 +36,11 @@
   openTime: 300,
 };
 
-/** Requests a second that a group is busy with. */
+/** Requests per second that saturate a group. */
 const SMALL_RATE = 10.8;
 const LARGE_RATE = 9;
 
-/** @param load - share of the groups' capacity that is asked for */
+/** @param load - share of the groups' capacity */
 export function smallCase(load: number): IPlacingCase {
   const groups = 10;
   return {
@@ -57,7 +57,7 @@
   };
 }
 
-/** @param load - share of the groups' capacity that is asked for */
+/** @param load - share of the groups' capacity */
 export function largeCase(load: number): IPlacingCase {
   const groups = 5;
   return {
@@ -74,7 +74,7 @@
   };
 }
 
-/** Engines whose slots outlast what they can read at once. */
+/** An engine with more slots than prompts that it can prefill at once. */
 const MANY_SLOTS_ENGINE: IEngineProfile = {
   ...ENGINE,
   slots: 26,
@@ -86,7 +86,7 @@
   stride: 6,
 };
 
-/** More prompts than the groups can read, by engines with room for them. */
+/** More prompts than the groups can prefill, although slots are free. */
 export function prefillBoundCase(): IPlacingCase {
   return {
     ...largeCase(0),
--- a/bench/placing/placing_simulation.ts
+++ b/bench/placing/placing_simulation.ts
@@ -1,4 +1,4 @@
-/** One trial of placing: several processes send to groups they know in part. */
+/** Simulates processes that place requests by incomplete group counts. */
 import type { IGroupLoad } from "../../src/common/calls/group_choice.ts";
 import { prefillMs } from "../../src/common/calls/engine_timing.ts";
 import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
@@ -6,28 +6,28 @@
 import { EventQueue } from "../decisions/event_queue.ts";
 import { SimulatedGroup } from "./simulated_group.ts";
 
-/** What a process knows of a group when it places. */
+/** What a process knows about a group when it places a request. */
 export interface IKnownGroup extends IGroupLoad {
-  /** The truth, for the oracle only. */
+  /** Actual values over all processes, for the oracle only. */
   readonly trueInFlight: number;
   readonly truePrefillTime: number;
 }
 
-/** What a process knows beside the groups. */
+/** What a process knows apart from the groups. */
 export interface IPlacingOptions {
   readonly processes: number;
-  /** Milliseconds of unread prompts behind which a call can be on time. */
+  /** Milliseconds of queued prefill behind which a call can be on time. */
   readonly prefillBudget: number;
   readonly chance: () => number;
 }
 
-/** Chooses a group; null when all seem full. */
+/** Chooses a group, or null when all seem full. */
 export type PlacingPolicy = (
   groups: readonly IKnownGroup[],
   options: IPlacingOptions,
 ) => string | null;
 
-/** What is played. */
+/** The load and the groups of a simulation. */
 export interface IPlacingCase {
   readonly name: string;
   readonly engine: IEngineProfile;
@@ -37,22 +37,22 @@
   readonly requestsPerSecond: number;
   readonly prompt: number;
   readonly output: number;
-  /** Milliseconds until the first event for an answer on time. */
+  /** Milliseconds within which the first event is on time. */
   readonly objective: number;
-  /** Milliseconds: one group after the other is empty and new. */
+  /** Milliseconds after which a new, empty group replaces the oldest. */
   readonly replacementInterval: number;
 }
 
-/** Age of the others' counts at most, milliseconds. */
+/** Milliseconds between exchanges, the largest age of the others' counts. */
 const EXCHANGE_INTERVAL = 230;
 
-/** Before each first event beside the work, milliseconds; as seen of engines. */
+/** Milliseconds that engines take before a first event, beside the work. */
 const FIRST_EVENT_OVERHEAD = 110;
 
-/** How long is played, milliseconds. */
+/** Simulated milliseconds. */
 const DURATION = 60_000;
 
-/** Spread of the sizes: a long tail, as the users' tables have. */
+/** Sigma of the log-normal sizes: a long tail, as in the users' tables. */
 const SIZE_SPREAD = 0.8;
 
 interface IRequest {
@@ -68,7 +68,7 @@
   othersInFlight: Map<string, number>;
 }
 
-/** Share of the requests whose first event is late. */
+/** Returns the share of the requests whose first event is late. */
 export function simulatePlacing(
   scenario: IPlacingCase,
   policy: PlacingPolicy,
@@ -85,7 +85,7 @@
   readonly #queue = new EventQueue();
   readonly #views: IProcessView[] = [];
   #groups: SimulatedGroup[] = [];
-  /** Requests that wait in each process. */
+  /** Queued requests of each process. */
   readonly #waiting: IRequest[][] = [];
   #createdGroups = 0;
   #lateRequests = 0;
@@ -124,7 +124,7 @@
     );
   }
 
-  /** A group is given up for a new one; what runs in it goes on. */
+  /** Replaces the oldest group; its running requests continue. */
   #replaceOldestGroup(after: number): void {
     this.#queue.scheduleAfter(after, () => {
       this.#groups = [...this.#groups.slice(1), this.#createGroup()];
@@ -207,7 +207,7 @@
     return true;
   }
 
-  /** Those that can be on time go first. */
+  /** Places queued requests, first those that can still be on time. */
   #placeWaiting(index: number): void {
     const waiting = this.#waiting[index] ?? [];
     const canBeOnTime = ({ arrivedAt }: IRequest) =>
@@ -251,7 +251,7 @@
     return prefillMs(engine, prompt) * model.pace;
   }
 
-  /** Log-normal round the mean. */
+  /** A log-normal size with a given mean. */
   #sampleSize(mean: number): number {
     const one = Math.sqrt(-2 * Math.log(1 - this.#random.next()));
     const normal = one * Math.cos(2 * Math.PI * this.#random.next());
--- a/bench/placing/policies.ts
+++ b/bench/placing/policies.ts
@@ -1,25 +1,25 @@
-/** Ways to place, to compare with. */
+/** Placing policies: the product's choice, baselines and an oracle. */
 import { chooseGroup } from "../../src/common/calls/group_choice.ts";
 import type { IKnownGroup, PlacingPolicy } from "./placing_simulation.ts";
 
-/** Share of the slots that chance adds, so that equals are all taken. */
+/** Random share of the slots in a score, so that equal groups are all used. */
 const RANDOM_SPREAD = 0.08;
 
-/** Milliseconds of unread prompts that weigh as much as all slots. */
+/** Milliseconds of queued prefill that weigh as much as all slots. */
 const PREFILL_SCALE = 100;
 
 /** The product's own choice. */
 export const productChoice: PlacingPolicy = (groups, options) =>
   chooseGroup(groups, { ...options, zone: "one" })?.group ?? null;
 
-/** The same, however many prompts are unread. */
+/** The product's choice without a bound on queued prefill. */
 export const unboundedPrefill: PlacingPolicy = (groups, options) =>
   productChoice(groups, {
     ...options,
     prefillBudget: Number.POSITIVE_INFINITY,
   });
 
-/** The lowest of all known counts, the others' some time old. */
+/** The lowest known count per slot; that of other processes is outdated. */
 export const leastInFlight = lowestScore(
   (group) => inFlightOf(group) / group.slots,
 );
@@ -27,7 +27,7 @@
 /** Any group that is not known to be full. */
 export const anyGroup = lowestScore(() => 0);
 
-/** Knows all requests and prompts of all processes at each moment. */
+/** Knows the current requests and prompts of all processes. */
 export const oracle = lowestScore(
   ({ trueInFlight, truePrefillTime, slots }) =>
     trueInFlight / slots + truePrefillTime / PREFILL_SCALE,
@@ -50,7 +50,7 @@
   };
 }
 
-/** Requests by the counts that a process has. */
+/** Requests in flight as far as a process knows. */
 function inFlightOf({ ownInFlight, othersInFlight }: IKnownGroup): number {
   return ownInFlight + (othersInFlight ?? 0);
 }
--- a/bench/placing/simulated_group.ts
+++ b/bench/placing/simulated_group.ts
@@ -1,12 +1,12 @@
 /**
- * A replica group by the published step model: passes of `stride` token steps,
- * in which up to one chunk of prompts is read a step.
+ * A replica group that follows the published step model: passes of `stride`
+ * token steps, each of which prefills up to one chunk of prompts.
  */
 import { prefillMs, stepTime } from "../../src/common/calls/engine_timing.ts";
 import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
 import type { EventQueue } from "../decisions/event_queue.ts";
 
-/** A request in the group. */
+/** A request in the group, with its progress in tokens. */
 export interface IPlacedRequest {
   readonly prompt: number;
   readonly output: number;
@@ -18,13 +18,13 @@
   readonly onEnd: () => void;
 }
 
-/** Passes one after the other while there is work. */
+/** Runs passes one after the other while it has requests. */
 export class SimulatedGroup {
   readonly name: string;
   readonly #engine: IEngineProfile;
   readonly #model: IModel;
   readonly #queue: EventQueue;
-  /** Milliseconds before the first event that no work of others explains. */
+  /** Milliseconds before the first event that no other request causes. */
   readonly #firstEventOverhead: number;
   readonly #waiting: IPlacedRequest[] = [];
   #running: IPlacedRequest[] = [];
@@ -50,7 +50,7 @@
     return this.#running.length + this.#waiting.length;
   }
 
-  /** Milliseconds of reading that lie before a new prompt. */
+  /** Milliseconds of prefill ahead of a new prompt. */
   get prefillBacklog(): number {
     const all = [...this.#running, ...this.#waiting];
     return all.reduce(
@@ -107,7 +107,7 @@
     return step * steps * this.#model.pace;
   }
 
-  /** Reads prompts in order; returns the milliseconds it takes. */
+  /** Prefills prompts in order; returns the milliseconds it takes. */
   #prefill(steps: number): number {
     let left = this.#engine.chunk * steps;
     let time = 0;
--- a/bench/placing_bench.ts
+++ b/bench/placing_bench.ts
@@ -1,7 +1,7 @@
 /**
- * Late first events by where calls are placed: the product's choice, the same
- * without a bound on unread prompts, the least in flight by old counts, any
- * group, and an oracle.
+ * Share of late first events by placing policy: the product's choice, the same
+ * without a bound on queued prefill, the least in flight by outdated counts,
+ * any group, and an oracle.
  */
 import { prefillBoundCase, largeCase, smallCase } from "./placing/cases.ts";
 import {
@@ -29,6 +29,7 @@
   ["oracle", oracle],
 ];
 
+/** Prints the late share of every policy, and its ratio to the baseline's. */
 export function run(): Promise<void> {
   const calm = LOADS.flatMap((load) => [smallCase(load), largeCase(load)]);
   for (const scenario of [...calm, prefillBoundCase()]) {
--- a/bench/plan_lists_bench.ts
+++ b/bench/plan_lists_bench.ts
@@ -1,7 +1,7 @@
 /**
- * How long an accepted edit takes to be in force everywhere: with nothing
- * wrong, in a zone cut from the platform only (against the zones beside it in
- * the same edits), and after the end of a cut from everyone.
+ * Time until an accepted edit of a plan list is in force everywhere: without
+ * faults, in a zone cut from the platform only (compared with the other zones
+ * in the same edits), and after the end of a cut from both platform and peers.
  */
 import { readFileSync } from "node:fs";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -10,9 +10,11 @@
 import { Operator } from "../test/support/operator.ts";
 
 const ZONES = ["vn-north-a", "vn-north-b", "vn-north-c"];
-const FAR = "daemon-vn-north-c-";
+const CUT_ZONE_PREFIX = "daemon-vn-north-c-";
+/** Milliseconds. */
 const POLL_INTERVAL = 5;
 const EDITS = 20;
+/** Milliseconds. */
 const CUT_TIME = 8_000;
 const CUTS = 5;
 
@@ -30,12 +32,12 @@
     this.#daemons = deployment.processNames("daemon-");
   }
 
-  get near(): readonly string[] {
-    return this.#daemons.filter((name) => !name.startsWith(FAR));
+  get otherDaemons(): readonly string[] {
+    return this.#daemons.filter((name) => !name.startsWith(CUT_ZONE_PREFIX));
   }
 
-  get far(): readonly string[] {
-    return this.#daemons.filter((name) => name.startsWith(FAR));
+  get cutZoneDaemons(): readonly string[] {
+    return this.#daemons.filter((name) => name.startsWith(CUT_ZONE_PREFIX));
   }
 
   edit(): Promise<number> {
@@ -44,7 +46,7 @@
     return this.#operator.putList("plans", text);
   }
 
-  /** Milliseconds until every one of the daemons has the version in force. */
+  /** Milliseconds until the version is in force at all given daemons. */
   async measureUntilInForce(names: readonly string[], version: number) {
     const started = performance.now();
     await Promise.all(
@@ -72,31 +74,39 @@
 }
 
 async function measureEdits(measurement: Measurement) {
-  const near: number[] = [];
-  const far: number[] = [];
+  const others: number[] = [];
+  const cutZone: number[] = [];
   for (let edit = 0; edit < EDITS; edit++) {
     const version = await measurement.edit();
-    const [nearTime, farTime] = await Promise.all([
-      measurement.measureUntilInForce(measurement.near, version),
-      measurement.measureUntilInForce(measurement.far, version),
+    const [otherTime, cutZoneTime] = await Promise.all([
+      measurement.measureUntilInForce(measurement.otherDaemons, version),
+      measurement.measureUntilInForce(measurement.cutZoneDaemons, version),
     ]);
-    near.push(nearTime);
-    far.push(farTime);
+    others.push(otherTime);
+    cutZone.push(cutZoneTime);
   }
-  return { near, far };
+  return { others, cutZone };
 }
 
 async function measureCuts(measurement: Measurement) {
-  const { near, far } = measurement;
+  const { otherDaemons, cutZoneDaemons } = measurement;
   const times: number[] = [];
   for (let cut = 0; cut < CUTS; cut++) {
-    measurement.setLinks(far, ["platform<"], LinkMode.Cut);
-    measurement.setLinks([...near, ...far], ["peers>"], LinkMode.Cut);
+    measurement.setLinks(cutZoneDaemons, ["platform<"], LinkMode.Cut);
+    measurement.setLinks(
+      [...otherDaemons, ...cutZoneDaemons],
+      ["peers>"],
+      LinkMode.Cut,
+    );
     const version = await measurement.edit();
     await sleep(CUT_TIME);
-    measurement.setLinks(far, ["platform<"], LinkMode.Pass);
-    measurement.setLinks([...near, ...far], ["peers>"], LinkMode.Pass);
-    times.push(await measurement.measureUntilInForce(far, version));
+    measurement.setLinks(cutZoneDaemons, ["platform<"], LinkMode.Pass);
+    measurement.setLinks(
+      [...otherDaemons, ...cutZoneDaemons],
+      ["peers>"],
+      LinkMode.Pass,
+    );
+    times.push(await measurement.measureUntilInForce(cutZoneDaemons, version));
   }
   return times;
 }
@@ -121,11 +131,18 @@
   await using operator = new Operator(deployment.platformAddress);
   const measurement = new Measurement(deployment, operator);
   const undisturbed = await measureEdits(measurement);
-  print("in_force_nothing_wrong", [...undisturbed.near, ...undisturbed.far]);
-  measurement.setLinks(measurement.far, ["platform<"], LinkMode.Cut);
+  print("in_force_nothing_wrong", [
+    ...undisturbed.others,
+    ...undisturbed.cutZone,
+  ]);
+  measurement.setLinks(measurement.cutZoneDaemons, ["platform<"], LinkMode.Cut);
   const cut = await measureEdits(measurement);
-  print("in_force_beside_the_cut_zone", cut.near);
-  print("in_force_cut_from_platform_only", cut.far);
-  measurement.setLinks(measurement.far, ["platform<"], LinkMode.Pass);
+  print("in_force_beside_the_cut_zone", cut.others);
+  print("in_force_cut_from_platform_only", cut.cutZone);
+  measurement.setLinks(
+    measurement.cutZoneDaemons,
+    ["platform<"],
+    LinkMode.Pass,
+  );
   print("in_force_after_cut_from_both", await measureCuts(measurement));
 }
--- a/bench/support/counting_relay.ts
+++ b/bench/support/counting_relay.ts
@@ -1,4 +1,4 @@
-/** A relay on 127.0.0.1 that counts the bytes of both directions. */
+/** A TCP relay on 127.0.0.1 that counts the bytes of both directions. */
 import { connect, createServer } from "node:net";
 import type { AddressInfo } from "node:net";
 
@@ -9,14 +9,14 @@
   close(): void;
 }
 
-/** @param targetPort - the port on 127.0.0.1 that connections are passed on to */
+/** @param targetPort - port on 127.0.0.1 that connections are relayed to */
 export async function startCountingRelay(
   targetPort: number,
 ): Promise<ICountingRelay> {
   let bytes = 0;
   const server = createServer((client) => {
     const upstream = connect(targetPort, "127.0.0.1");
-    // Else small frames wait for delayed acknowledgements, 40 ms a call.
+    // Otherwise small frames wait for delayed acknowledgements, 40 ms per call.
     client.setNoDelay(true);
     upstream.setNoDelay(true);
     client.on("data", (data) => {
--- a/bench/support/linear_fit.ts
+++ b/bench/support/linear_fit.ts
@@ -1,22 +1,22 @@
-/** Straight lines through measured points, with what they leave over. */
+/** Linear regression over measurements, with its residuals. */
 
-/** One measurement at one size. */
+/** A measured value (y) at a size (x). */
 export interface IPoint {
   readonly x: number;
   readonly y: number;
 }
 
-/** The line, and how far the points lie from it. */
+/** A fitted line and its deviation from the points. */
 export interface IFit {
   readonly intercept: number;
   readonly slope: number;
-  /** Share of the variance that the line explains. */
+  /** Coefficient of determination, R2. */
   readonly determination: number;
-  /** Largest distance of a point from the line, in units of y. */
+  /** Largest deviation of a point from the line, in units of y. */
   readonly largestResidual: number;
 }
 
-/** Least squares. */
+/** Fits a line by least squares. */
 export function fitLine(points: readonly IPoint[]): IFit {
   const count = points.length;
   const meanX = points.reduce((sum, { x }) => sum + x, 0) / count;
@@ -40,7 +40,7 @@
   };
 }
 
-/** Prints the points, the line and what it gives at the target size. */
+/** Prints the points, the line and its value at the size `at`. */
 export function printFit(
   name: string,
   points: readonly IPoint[],
--- a/bench/support/peer_wire.ts
+++ b/bench/support/peer_wire.ts
@@ -1,4 +1,4 @@
-/** What one call between daemons costs on a real connection. */
+/** Measures what a call between daemons costs on a real connection. */
 import { GrpcPeers } from "../../src/adapters/peers/grpc_peers.ts";
 import { GrpcPeerServer } from "../../src/adapters/peers/grpc_peer_server.ts";
 import { peerApi } from "../../src/adapters/peers/peer_api.ts";
@@ -13,9 +13,9 @@
 const WARM_UP = 500;
 const CALLS = 3_000;
 
-/** Costs of one unary call with its answer. */
+/** Costs of a unary call with its response. */
 export interface ICallCost {
-  /** Bytes on TCP beyond the two messages: frames, headers, control. */
+  /** Bytes on TCP besides the two messages: frames, headers, control. */
   readonly overheadBytes: number;
   /** Processor time of both ends together, microseconds. */
   readonly processorTime: number;
@@ -27,13 +27,13 @@
   version: 100_000 + index,
 }));
 
-/** Encodes as the gRPC library does. */
+/** Size of a probe as the gRPC library encodes it. */
 export function encodedBytes(probe: IProbe): number {
   const { Probe } = peerApi.cranberryledge.Peer.service;
   return Probe.requestSerialize(writeProbe(probe)).length;
 }
 
-/** Makes probes over a connection that counts its bytes. */
+/** Counts bytes of probes through a relay, then measures time without it. */
 export async function measureCallCost(): Promise<ICallCost> {
   const member = {
     daemon: "daemon/0",
@@ -52,7 +52,7 @@
   await using server = new GrpcPeerServer(handler, {
     credentials: plain,
     onForwardedRequest: () => {
-      throw new Error("nothing is handed over here");
+      throw new Error("unexpected forwarded request");
     },
   });
   const port = await server.listen("127.0.0.1:0");
