--- a/bench/control_bench.ts
+++ b/bench/control_bench.ts
@@ -1,7 +1,7 @@
 /**
- * Idle daemons as real processes: what each costs in processor time and
- * memory, and what all together ask of the platform, at rest, in an outage and
- * in the time after. Run `npm run build` first: it starts what is in dist/.
+ * Processor time and memory of idle daemons as real processes, and their calls
+ * to the platform at rest, during an outage and after it. Run `npm run build`
+ * first, since the processes are started from dist/.
  */
 import { readFileSync } from "node:fs";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -11,7 +11,7 @@
 import { printFit, round } from "./support/linear_fit.ts";
 import type { IPoint } from "./support/linear_fit.ts";
 
-/** Daemons and engines a zone, in two zones; under 40 processes in all. */
+/** Daemons and engines per zone, in two zones; below 40 processes in all. */
 const SIZES: readonly { readonly daemons: number; readonly engines: number }[] =
   [
     { daemons: 1, engines: 4 },
@@ -20,18 +20,21 @@
     { daemons: 6, engines: 4 },
   ];
 const ZONES: readonly string[] = ["vn-north-a", "vn-north-b"];
+/** Milliseconds until daemons are at rest. */
 const SETTLE = 5_000;
+/** Milliseconds. */
 const MEASURED = 10_000;
+/** Milliseconds that each of the outage and the time after it is measured. */
 const OUTAGE = 15_000;
 const DAEMONS_AT_TARGET = 330;
 
-/** Clock ticks a second in /proc/PID/stat. */
+/** Clock ticks per second in /proc/PID/stat. */
 const TICKS_PER_SECOND = 100;
 const PAGE_KILOBYTES = 4;
 
 type Counts = Readonly<Record<string, number>>;
 
-interface IUse {
+interface IProcessUsage {
   readonly seconds: number;
   readonly megabytes: number;
 }
@@ -75,9 +78,9 @@
   const daemons = deployment.processNames("daemon-");
   const pids = daemons.map((daemon) => deployment.process(daemon).pid);
   await sleep(SETTLE);
-  const before = pids.map(useOf);
-  const rest = await callsWithin(deployment, MEASURED);
-  const after = pids.map(useOf);
+  const before = pids.map(readProcessUsage);
+  const rest = await measureCallRates(deployment, MEASURED);
+  const after = pids.map(readProcessUsage);
   const time = mean(
     after.map((use, index) => use.seconds - before[index]!.seconds),
   );
@@ -90,42 +93,42 @@
   console.log(
     `${daemons.length} daemons, ${size.engines} engines a zone: ` +
       `${round(share)} % of a core and ${round(memory)} MB a daemon, ` +
-      `${round(calls)} platform calls/s (${shown(rest)})`,
+      `${round(calls)} platform calls/s (${formatRates(rest)})`,
   );
   for (const mode of [LinkMode.Cut, LinkMode.Pass]) {
     daemons.forEach((daemon) =>
       deployment.link(`platform<${daemon}`).setMode(mode),
     );
-    const within = await callsWithin(deployment, OUTAGE);
+    const within = await measureCallRates(deployment, OUTAGE);
     const name = mode === LinkMode.Cut ? "in the outage" : "after it";
     console.log(`  ${name}: ${round(total(within))} calls/s arrive`);
   }
 }
 
-async function callsWithin(
+async function measureCallRates(
   deployment: Deployment,
   duration: number,
 ): Promise<Counts> {
-  const before = await countsOf(deployment);
+  const before = await readCounts(deployment);
   await sleep(duration);
-  const after = await countsOf(deployment);
+  const after = await readCounts(deployment);
   const rates = Object.entries(after).map(([key, count]) => [
     key,
     (count - (before[key] ?? 0)) / (duration / 1_000),
   ]);
   return Object.fromEntries(
-    // What waits is a level and no rate.
+    // The number of waiting calls is a level, so it has no rate.
     rates.filter(([key]) => !String(key).startsWith("waiting")),
   ) as Counts;
 }
 
-async function countsOf(deployment: Deployment): Promise<Counts> {
+async function readCounts(deployment: Deployment): Promise<Counts> {
   const url = `http://${deployment.platformAddress}/counts`;
   const answer = await request(url);
   return (await answer.body.json()) as Counts;
 }
 
-function useOf(pid: number): IUse {
+function readProcessUsage(pid: number): IProcessUsage {
   const stat = readFileSync(`/proc/${pid}/stat`, "utf8");
   const fields = stat.slice(stat.lastIndexOf(")") + 2).split(" ");
   const ticks = Number(fields[11]) + Number(fields[12]);
@@ -141,7 +144,7 @@
   return Object.values(counts).reduce((sum, rate) => sum + rate, 0);
 }
 
-function shown(counts: Counts): string {
+function formatRates(counts: Counts): string {
   return Object.entries(counts)
     .filter(([, rate]) => rate > 0)
     .map(([key, rate]) => `${key.trim()} ${round(rate)}`)
--- a/bench/decisions/cases.ts
+++ b/bench/decisions/cases.ts
@@ -1,19 +1,19 @@
-/** The load cases, each with what happens and when. */
-import { Behaviour } from "./fake_target.ts";
+/** The load cases, with the events of each and their times. */
+import { Behaviour } from "./simulated_target.ts";
 import type { IFlow, ITraceEntry } from "./trace.ts";
-import { makeTrace } from "./trace.ts";
-import type { IScenario, World } from "./world.ts";
-import { seeded } from "./world.ts";
+import { generateTrace } from "./trace.ts";
+import type { IScenario, Simulation } from "./simulation.ts";
+import { seededRandom } from "./simulation.ts";
 
 const TARGETS = 16;
 const DAEMONS = 2;
 const TRACE_SEED = 1;
 const RUN_SEED = 2;
 
-/** Length of most cases, milliseconds. */
+/** Duration of most cases, milliseconds. */
 export const DURATION = 60_000;
 
-/** Short requests, as editors and subscribers make them. */
+/** Short requests, as editors and subscribers send them. */
 export const HEADLINE: Omit<IFlow, "rate"> = {
   account: "desk",
   priority: 5,
@@ -36,16 +36,16 @@
   return { ...HEADLINE, account, rate: () => rate };
 }
 
-/** A scenario of the usual size. */
+/** A scenario with the default numbers of targets and daemons. */
 export function scenario(
   flows: readonly IFlow[],
   rest: Partial<IScenario> = {},
 ): IScenario {
   const duration = rest.duration ?? DURATION;
-  const trace: readonly ITraceEntry[] = makeTrace(
+  const trace: readonly ITraceEntry[] = generateTrace(
     flows,
     duration,
-    seeded(TRACE_SEED),
+    seededRandom(TRACE_SEED),
   );
   return {
     trace,
@@ -65,7 +65,7 @@
   ]);
 }
 
-/** One account makes 80% of the load, four others the rest. */
+/** One account sends 80% of the load, four others the rest. */
 export function flood(rate: number): IScenario {
   const others = [1, 2, 3, 4].map((index) =>
     headlines(rate * 0.05, `steady-${index}`),
@@ -74,13 +74,13 @@
 }
 
 /** One request in twenty is a long brief. */
-export function longAmongShort(rate: number, withLong: boolean): IScenario {
+export function longAmongShort(rate: number, hasLong: boolean): IScenario {
   const short = { ...headlines(rate * 0.95) };
   const long = { ...BRIEF, rate: () => rate * 0.05 };
-  return scenario(withLong ? [short, long] : [short], { duration: 120_000 });
+  return scenario(hasLong ? [short, long] : [short], { duration: 120_000 });
 }
 
-/** One prefix begins a fifth of the requests, a hundred others the rest. */
+/** A fifth of the requests share one prefix, the rest a hundred others. */
 export function hotPrefix(rate: number): IScenario {
   const prompt = { promptTokens: 2_000 };
   return scenario([
@@ -89,37 +89,42 @@
   ]);
 }
 
-/** One target changes its ways at 10 s. */
+/** One target changes its behaviour after 10 s. */
 export function oneTarget(
   rate: number,
-  change: (world: World) => void,
+  change: (simulation: Simulation) => void,
 ): IScenario {
   return scenario([headlines(rate)], {
-    prepare: (world) => world.events.at(10_000, () => change(world)),
+    prepare: (simulation) =>
+      simulation.events.scheduleAt(10_000, () => change(simulation)),
   });
 }
 
-/** The first target at a fifth of its speed. */
-export function fifthOfSpeed(world: World): void {
-  world.targets[0]?.slowDown(5);
+/** Slows the first target down to a fifth of its speed. */
+export function slowFirstTarget(simulation: Simulation): void {
+  simulation.targets[0]?.setSlowness(5);
 }
 
-/** The first target accepts and never answers. */
-export function goSilent(world: World): void {
-  world.targets[0]?.behave(Behaviour.Silent);
+/** Makes the first target accept requests without ever answering. */
+export function silenceFirstTarget(simulation: Simulation): void {
+  simulation.targets[0]?.setBehaviour(Behaviour.Silent);
 }
 
-/** A share of the targets is away between two times. */
+/** A share of the targets is unreachable between two times, milliseconds. */
 export function outage(
   rate: number,
   span: { readonly from: number; readonly to: number; readonly share: number },
 ): IScenario {
   return scenario([headlines(rate)], {
-    prepare: (world) => {
-      const count = world.targets.length * span.share;
-      for (const target of world.targets.slice(0, count)) {
-        world.events.at(span.from, () => target.behave(Behaviour.Away));
-        world.events.at(span.to, () => target.behave(Behaviour.Serves));
+    prepare: (simulation) => {
+      const count = simulation.targets.length * span.share;
+      for (const target of simulation.targets.slice(0, count)) {
+        simulation.events.scheduleAt(span.from, () =>
+          target.setBehaviour(Behaviour.Unreachable),
+        );
+        simulation.events.scheduleAt(span.to, () =>
+          target.setBehaviour(Behaviour.Serving),
+        );
       }
     },
   });
--- a/bench/digests_bench.ts
+++ b/bench/digests_bench.ts
@@ -1,9 +1,8 @@
 /**
- * Digests of targets' reports in one zone: real boards, the choice of peers as
- * the service makes it, and real encoding, with what a call costs beyond its
- * messages taken from a real connection. Played with loads that change at each
- * poll and with loads at rest, and against a plain baseline that sends every
- * report in each answer.
+ * Digests of targets' reports in one zone, with the real digest tables, choice
+ * of peers and encoding; the overhead of a call is measured on a real
+ * connection. Runs with loads that change at each poll and with constant loads,
+ * and against a baseline that sends every report in each response.
  */
 import { peerApi } from "../src/adapters/peers/peer_api.ts";
 import { writeDigestRow } from "../src/adapters/peers/peer_messages.ts";
@@ -22,7 +21,7 @@
 import type { IPoint } from "./support/linear_fit.ts";
 import { measureCallCost } from "./support/peer_wire.ts";
 
-/** Daemons and targets of one zone: today's, in between, and the target's. */
+/** Daemons and targets of one zone: today's, intermediate and target sizes. */
 const ZONES: readonly { readonly daemons: number; readonly targets: number }[] =
   [
     { daemons: 2, targets: 21 },
@@ -31,11 +30,13 @@
     { daemons: 37, targets: 255 },
     { daemons: 37, targets: 1_020 },
   ];
+/** Milliseconds between rounds; a daemon polls and pulls once in each. */
 const PERIOD = 500;
+/** Daemons that poll each target. */
 const POLLERS = 2;
 const SETTLE_ROUNDS = 14;
 const ROUNDS = 24;
-/** The baseline sends everything each time: a few rounds show it. */
+/** The baseline sends everything in each round, so a few rounds suffice. */
 const BASELINE_ROUNDS = 4;
 const TARGETS_AT_TARGET = 255;
 
@@ -44,16 +45,16 @@
 
 interface IDaemon {
   readonly name: string;
-  readonly board: DigestTable;
-  readonly own: readonly number[];
+  readonly table: DigestTable;
+  readonly polledTargets: readonly number[];
   readonly phase: number;
 }
 
 interface IMeasured {
   readonly bytes: number;
-  /** Microseconds of processor time a second, a daemon, without the calls. */
+  /** Processor microseconds per second and daemon, without the calls. */
   readonly time: number;
-  /** Ages of reports over daemons and targets, milliseconds. */
+  /** Ages of the reports of all targets at all daemons, milliseconds. */
   readonly ages: readonly number[];
   readonly polls: number;
 }
@@ -70,7 +71,7 @@
       const whole = measure(zone, { isBusy, isWhole: true });
       const bytes = measured.bytes + calls * cost.overheadBytes;
       const time = measured.time + calls * cost.processorTime;
-      const plain = whole.bytes + calls * cost.overheadBytes;
+      const baseline = whole.bytes + calls * cost.overheadBytes;
       const sorted = [...measured.ages].sort((left, right) => left - right);
       const quantile = (share: number) =>
         round(sorted[Math.floor(share * (sorted.length - 1))] ?? 0);
@@ -80,7 +81,7 @@
       console.log(
         `${zone.daemons} daemons, ${zone.targets} targets, ` +
           `${isBusy ? "every load changes" : "loads at rest"}: ` +
-          `${round(bytes / plain)} of the baseline's bytes, ` +
+          `${round(bytes / baseline)} of the baseline's bytes, ` +
           `${round(bytes)} B/s sent with headers, ` +
           `${round(time / 10_000)} % of a core, ` +
           `${round(measured.polls)} polls/s; age of a report ` +
@@ -119,17 +120,17 @@
     for (const daemon of daemons) {
       const now = round * PERIOD + daemon.phase;
       const load = options.isBusy ? round : 0;
-      daemon.board.publish(
-        daemon.own.map((target) => polled(target, load, now)),
+      daemon.table.publish(
+        daemon.polledTargets.map((target) => createReport(target, load, now)),
       );
-      polls += daemon.own.length;
+      polls += daemon.polledTargets.length;
       const others = names.filter((name) => name !== daemon.name);
-      const chosen = choosePullSource(others, { self: daemon.name, round });
-      const peer = daemons.find(({ name }) => name === chosen)!;
-      const held = options.isWhole ? [] : daemon.board.heldRows(now);
-      const rows = peer.board.fresherRows(held, now);
+      const source = choosePullSource(others, { self: daemon.name, round });
+      const peer = daemons.find(({ name }) => name === source)!;
+      const held = options.isWhole ? [] : daemon.table.heldRows(now);
+      const rows = peer.table.fresherRows(held, now);
       bytes += round < SETTLE_ROUNDS ? 0 : encodedBytes(held, rows);
-      daemon.board.merge(rows, now);
+      daemon.table.merge(rows, now);
     }
     if (round >= SETTLE_ROUNDS) {
       ages.push(...collectAges(daemons, (round + 1) * PERIOD));
@@ -166,8 +167,8 @@
   return names
     .map((name) => ({
       name,
-      board: new DigestTable(hash.hash(name)),
-      own: own.get(name) ?? [],
+      table: new DigestTable(hash.hash(name)),
+      polledTargets: own.get(name) ?? [],
       phase: random.next() * PERIOD,
     }))
     .sort((left, right) => left.phase - right.phase);
@@ -175,9 +176,11 @@
 
 function collectAges(daemons: readonly IDaemon[], now: number): number[] {
   return daemons.flatMap((daemon) =>
-    daemons.flatMap(({ name, own }) => {
-      const seenAt = daemon.board.seenAt(hash.hash(name));
-      return own.length === 0 || seenAt === null ? [] : [now - seenAt];
+    daemons.flatMap(({ name, polledTargets }) => {
+      const seenAt = daemon.table.seenAt(hash.hash(name));
+      return polledTargets.length === 0 || seenAt === null
+        ? []
+        : [now - seenAt];
     }),
   );
 }
@@ -193,7 +196,7 @@
   return question.length + answer.length;
 }
 
-function polled(
+function createReport(
   target: number,
   load: number,
   seenAt: number,
--- a/bench/path_bench.ts
+++ b/bench/path_bench.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench -- path`: what a daemon adds to a call, against a direct
- * connection to the same stand-in in the same run, with real processes.
+ * `npm run bench -- path` measures the latency that a daemon adds to a call,
+ * compared with a direct connection to the same stand-in in the same run, with
+ * real processes.
  */
 import { performance } from "node:perf_hooks";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -12,13 +13,15 @@
 
 const ZONE = "vn-north-a";
 const DAEMON = `daemon-${ZONE}-0`;
+/** Calls per second. */
 const RATE = 350;
 const CALLS = 5_000;
 const MEMORY_CALLS = 20_000;
+/** Microseconds per millisecond. */
 const MICROSECONDS = 1_000;
 
-/** Sends calls at a rate, whether or not earlier ones are answered. */
-async function pace(
+/** Sends calls at a fixed rate, regardless of unanswered ones. */
+async function sendAtRate(
   calls: number,
   call: () => Promise<void>,
 ): Promise<Histogram> {
@@ -53,7 +56,7 @@
   return Number(kilobytes) / 1_024;
 }
 
-function posting(pool: Pool, path: string, content: object, token = "") {
+function createPost(pool: Pool, path: string, content: object, token = "") {
   const body = JSON.stringify(content);
   const headers = {
     "content-type": "application/json",
@@ -63,12 +66,12 @@
     const answer = await pool.request({ method: "POST", path, headers, body });
     await answer.body.dump();
     if (answer.statusCode !== 200) {
-      throw new Error(`${path} answered ${answer.statusCode}`);
+      throw new Error(`${path} returned status ${answer.statusCode}`);
     }
   };
 }
 
-/** Prints what a daemon adds, and its memory. */
+/** Prints the latency that a daemon adds, and its memory. */
 export async function run(): Promise<void> {
   await using deployment = await Deployment.start({
     example: "song_lam",
@@ -80,39 +83,43 @@
   });
   const daemon = deployment.process(DAEMON);
   const service = deployment.process(`service-${ZONE}`);
-  await using direct = pooled(`http://${service.listeningField("address")}`);
-  await using through = pooled(`http://${daemon.listeningField("callers")}`);
-  const straight = posting(direct.pool, "/call", {
+  await using direct = createPool(
+    `http://${service.listeningField("address")}`,
+  );
+  await using through = createPool(
+    `http://${daemon.listeningField("callers")}`,
+  );
+  const callDirectly = createPost(direct.pool, "/call", {
     requestId: "bench",
     operation: "feed",
     body: { page: 1 },
   });
-  const relayed = posting(
+  const callThroughDaemon = createPost(
     through.pool,
     "/v1/services/delivery-api/feed",
     { page: 1 },
     "subscriber-app-secret",
   );
   await sleep(1_000);
-  await pace(1_000, straight);
-  await pace(1_000, relayed);
-  const base = await pace(CALLS, straight);
-  const added = await pace(CALLS, relayed);
+  await sendAtRate(1_000, callDirectly);
+  await sendAtRate(1_000, callThroughDaemon);
+  const directTimes = await sendAtRate(CALLS, callDirectly);
+  const daemonTimes = await sendAtRate(CALLS, callThroughDaemon);
   for (const percentile of [50, 99]) {
-    const ours = milliseconds(added, percentile);
-    const theirs = milliseconds(base, percentile);
-    const ratio = (ours / theirs).toFixed(2);
-    const more = (ours - theirs).toFixed(2);
+    const throughDaemon = milliseconds(daemonTimes, percentile);
+    const directly = milliseconds(directTimes, percentile);
+    const ratio = (throughDaemon / directly).toFixed(2);
+    const more = (throughDaemon - directly).toFixed(2);
     console.log(`buffered p${percentile} ratio ${ratio}, added ${more} ms`);
   }
   for (let half = 1; half <= 2; half++) {
-    await pace(MEMORY_CALLS / 2, relayed);
+    await sendAtRate(MEMORY_CALLS / 2, callThroughDaemon);
     const megabytes = residentMemory(daemon.pid).toFixed(0);
     console.log(`resident memory after half ${half}: ${megabytes} MB`);
   }
 }
 
-function pooled(origin: string): { pool: Pool } & AsyncDisposable {
+function createPool(origin: string): { pool: Pool } & AsyncDisposable {
   const pool = new Pool(origin, { connections: 32 });
   return { pool, [Symbol.asyncDispose]: () => pool.close() };
 }
--- a/bench/placing/cases.ts
+++ b/bench/placing/cases.ts
@@ -1,6 +1,6 @@
-/** Loads to place: a small and a large model by the published figures. */
+/** Placing cases with a small and a large model, from published figures. */
 import type { IEngineProfile, IModel } from "../../src/common/calls/types.ts";
-import type { IPlacingCase } from "./placing_trial.ts";
+import type { IPlacingCase } from "./placing_simulation.ts";
 
 const LARGE: IModel = {
   name: "large",
@@ -36,11 +36,11 @@
   openTime: 300,
 };
 
-/** Requests a second that a group is busy with. */
+/** Requests per second that saturate a group. */
 const SMALL_RATE = 10.8;
 const LARGE_RATE = 9;
 
-/** @param load - share of the groups' capacity that is asked for */
+/** @param load - share of the groups' capacity */
 export function smallCase(load: number): IPlacingCase {
   const groups = 10;
   return {
@@ -53,11 +53,11 @@
     prompt: 714,
     output: 175,
     objective: 290,
-    renewEvery: 1_500,
+    replacementInterval: 1_500,
   };
 }
 
-/** @param load - share of the groups' capacity that is asked for */
+/** @param load - share of the groups' capacity */
 export function largeCase(load: number): IPlacingCase {
   const groups = 5;
   return {
@@ -70,12 +70,12 @@
     prompt: 1_700,
     output: 96,
     objective: 400,
-    renewEvery: 1_500,
+    replacementInterval: 1_500,
   };
 }
 
-/** Engines whose slots outlast what they can read at once. */
-const MANY_SLOTS: IEngineProfile = {
+/** An engine with more slots than prompts that it can prefill at once. */
+const MANY_SLOTS_ENGINE: IEngineProfile = {
   ...ENGINE,
   slots: 26,
   stepTime: 6.45,
@@ -86,12 +86,12 @@
   stride: 6,
 };
 
-/** More prompts than the groups can read, by engines with room for them. */
-export function pressedCase(): IPlacingCase {
+/** More prompts than the groups can prefill, although slots are free. */
+export function prefillBoundCase(): IPlacingCase {
   return {
     ...largeCase(0),
     name: "large model, more prompts than can be read",
-    engine: MANY_SLOTS,
+    engine: MANY_SLOTS_ENGINE,
     groups: 6,
     processes: 9,
     requestsPerSecond: 130,
