--- a/src/common/services/forward_service.ts
+++ b/src/common/services/forward_service.ts
@@ -31,13 +31,13 @@
   constructor(parts: {
     readonly admission: AdmissionService;
     readonly engines: EngineRunner;
-    readonly book: EffectivePlans;
+    readonly plans: EffectivePlans;
     readonly services: ReadonlyMap<ServiceName, IServiceDefinition>;
     readonly clock: IClock;
   }) {
     this.#admission = parts.admission;
     this.#engines = parts.engines;
-    this.#plans = parts.book;
+    this.#plans = parts.plans;
     this.#services = parts.services;
     this.#clock = parts.clock;
   }
--- a/src/daemon/request_pipeline.ts
+++ b/src/daemon/request_pipeline.ts
@@ -61,7 +61,7 @@
     const services = serviceDefinitions(settings);
     this.#plainServices = this.#createPlainServices();
     this.forwardService = new ForwardService({
-      ...{ admission, engines, book: plans, services, clock },
+      ...{ admission, engines, plans, services, clock },
     });
     this.dispatcher = new CallDispatcher({
       admission,
