--- a/src/common/groups/domain_lease_test.ts
+++ b/src/common/groups/domain_lease_test.ts
@@ -21,6 +21,7 @@
   renewEvery: 300,
   pauseBound: 200,
 };
+/** Time between two ticks of a holder, milliseconds. */
 const TICK = 100;
 const HOLDERS = 3;
 const SEED = 20_261_202;
@@ -34,14 +35,15 @@
   StaleRead = "stale_read",
   NotApplied = "not_applied",
   Change = "change",
-  GiveBack = "give_back",
+  Release = "release",
 }
 
-/** A fault of one holder, after a wait. */
+/** A fault, change or release at one holder, after a wait in milliseconds. */
 interface IStep {
   readonly wait: number;
   readonly holder: number;
   readonly fault: Fault;
+  /** Length of a pause or delay in milliseconds, or versions a read is behind. */
   readonly amount: number;
 }
 
@@ -72,7 +74,7 @@
 }
 
 /** Runs one schedule and checks the invariants at every event. */
-class World {
+class Simulation {
   readonly holders = ["a", "b", "c"].map((name) => new Holder(name));
   #now = 0;
   #version = 0;
@@ -125,7 +127,7 @@
           this.#perform(holder, holder.lease.changeGroups(this.#groups(), now));
         }
         return;
-      case Fault.GiveBack:
+      case Fault.Release:
         if (isRunning) {
           this.#perform(holder, holder.lease.release(now));
         }
@@ -297,8 +299,8 @@
 );
 
 /** The only holder once everything has settled. */
-function onlyHolder(world: World): DomainLease {
-  const holding = world.holders
+function onlyHolder(simulation: Simulation): DomainLease {
+  const holding = simulation.holders
     .map(({ lease }) => lease)
     .filter(({ state }) => state === LeaseState.Holding);
   expect(holding, "holders in the end").to.have.length(1);
@@ -306,14 +308,17 @@
 }
 
 describe("a domain's lease", () => {
+  // Guards against engines ordered into two groups: a holder that was paused, or
+  // whose write's answer was lost, keeps sending orders while another takes over.
   it("never lets two holders order, and settles every write", () => {
     fc.assert(
       fc.property(SCHEDULES, (schedule) => {
-        const world = new World();
-        world.run(schedule);
-        world.settle();
-        const { epoch, nextGroup } = onlyHolder(world).lastSeen?.record ?? {};
-        expect(world.current?.record).to.include({ epoch, nextGroup });
+        const simulation = new Simulation();
+        simulation.run(schedule);
+        simulation.settle();
+        const { epoch, nextGroup } =
+          onlyHolder(simulation).lastSeen?.record ?? {};
+        expect(simulation.current?.record).to.include({ epoch, nextGroup });
       }),
       { seed: SEED, numRuns: RUNS, endOnFailure: true },
     );
@@ -322,13 +327,13 @@
   // Guards against starting again at epoch one after an operator has deleted
   // the domain's object: engines would refuse every order.
   it("continues with a higher epoch after its object was deleted", () => {
-    const world = new World();
-    world.run([]);
-    world.settle();
-    const before = onlyHolder(world).lastSeen?.record.epoch ?? 0;
-    world.deleteObject();
-    world.settle();
-    const after = onlyHolder(world).lastSeen?.record.epoch;
+    const simulation = new Simulation();
+    simulation.run([]);
+    simulation.settle();
+    const before = onlyHolder(simulation).lastSeen?.record.epoch ?? 0;
+    simulation.deleteObject();
+    simulation.settle();
+    const after = onlyHolder(simulation).lastSeen?.record.epoch;
     expect(after).to.be.greaterThan(before);
   });
 });
--- a/src/common/groups/formation_test.ts
+++ b/src/common/groups/formation_test.ts
@@ -93,7 +93,7 @@
     const members = this.record.groups.flatMap((group) => group.members);
     const whole = this.record.groups.length * POLICY.membersPerGroup;
     if (new Set(members).size !== members.length || members.length !== whole) {
-      throw new Error(`members ${members.join()}`);
+      throw new Error(`duplicate or missing members: ${members.join()}`);
     }
   }
 }
@@ -106,6 +106,8 @@
 }
 
 describe("forming groups", () => {
+  // Guards against an instance in two groups and groups that stay incomplete,
+  // when engines become silent, return and restart in any order.
   it("keeps each instance in one group, whatever fails", () => {
     const step = fc.record({
       engine: fc.nat({ max: 13 }),
@@ -126,7 +128,7 @@
         }
         domain.silent.clear();
         domain.advance(70);
-        expect(domain.record.groups, "whole again").to.have.length(3);
+        expect(domain.record.groups, "groups in the end").to.have.length(3);
       }),
       { seed: 4_711, numRuns: 500, endOnFailure: true },
     );
--- a/src/common/groups/member_monitor.ts
+++ b/src/common/groups/member_monitor.ts
@@ -6,9 +6,10 @@
  * healthy group of its domain on its first update. Silence therefore counts
  * only from when this daemon began to run without a gap.
  *
- * A member that comes and goes must not make its group re-form each time: the
- * first loss costs nothing, and each further one doubles the time for which it
- * is held out of groups. The count of losses decays with a half-life.
+ * A member that comes and goes must not make its group re-form each time. The
+ * first loss has no consequence, and each further one soon after at least
+ * doubles the time for which it is held out of groups, up to a bound. The count
+ * of losses decays with a half-life.
  */
 import type {
   IInstance,
--- a/src/common/groups/orders.ts
+++ b/src/common/groups/orders.ts
@@ -56,13 +56,13 @@
     view.instances.map((instance) => [instance.id, instance.address]),
   );
   const context = { record, view, policy, addresses };
-  return [...planReleases(context), ...planLoads(context)];
+  return [...planReleases(context), ...planJoinsAndLoads(context)];
 }
 
 /**
  * Join orders, then load orders for spares within the remaining load budget.
  */
-function planLoads(context: IOrderContext): readonly IAddressedOrder[] {
+function planJoinsAndLoads(context: IOrderContext): readonly IAddressedOrder[] {
   let budget = context.policy.concurrentLoads - countLoading(context);
   const orders: IAddressedOrder[] = [];
   for (const group of byUrgency(context)) {
@@ -134,7 +134,7 @@
       .filter((group) => isComplete(group, presence))
       .map((group) => group.service),
   );
-  const urgency = (group: IReplicaGroup): number => {
+  const sortKey = (group: IReplicaGroup): number => {
     const loads = group.members.filter((member) =>
       needsLoad(member, group, context),
     ).length;
@@ -142,7 +142,7 @@
     return loads + (isServed ? policy.membersPerGroup + 1 : 0);
   };
   return [...record.groups].sort(
-    (left, right) => urgency(left) - urgency(right),
+    (left, right) => sortKey(left) - sortKey(right),
   );
 }
 
@@ -211,7 +211,7 @@
 }
 
 /**
- * Release orders for engines that report a group not assigned to them by the
+ * Release orders for engines that report a group but are in no group of the
  * record.
  */
 function planReleases(context: IOrderContext): readonly IAddressedOrder[] {
--- a/src/common/groups/spare_count.ts
+++ b/src/common/groups/spare_count.ts
@@ -1,11 +1,10 @@
 /**
  * Chooses how many groups a domain's engines form, the rest being warm spares.
  *
- * Spares matter when members fail while nobody is watching: with a spare a
- * group is down for as long as detection, the write and the load take; without
- * one, until the platform provides another instance. A fixed share of spares
- * either costs idle accelerators every hour, or is too small on the one night
- * when an engine fails.
+ * Spares matter when members fail unattended: with a spare a group is down for
+ * as long as detection, the write and the load take; without one, until the
+ * platform provides another instance. A fixed share of spares either costs idle
+ * accelerators all the time, or is too small when an engine fails.
  *
  * Deployments weigh both differently, so the count follows from their two
  * weights and from rates and times. The number of instances that are out at a
@@ -56,9 +55,13 @@
   weights: ISpareWeights,
   figures: IFailureFigures,
 ): ISpareCost {
-  const most = Math.floor(engines / members);
-  let best = expectedCost({ engines, members, groups: most }, weights, figures);
-  for (let groups = most - 1; groups >= 1; groups--) {
+  const maxGroups = Math.floor(engines / members);
+  let best = expectedCost(
+    { engines, members, groups: maxGroups },
+    weights,
+    figures,
+  );
+  for (let groups = maxGroups - 1; groups >= 1; groups--) {
     const next = expectedCost({ engines, members, groups }, weights, figures);
     best = next.cost < best.cost ? next : best;
   }
--- a/src/common/groups/spare_count_test.ts
+++ b/src/common/groups/spare_count_test.ts
@@ -2,6 +2,7 @@
 import { expect } from "chai";
 import { chooseGroupCount } from "./spare_count.ts";
 
+/** Milliseconds. */
 const HOUR = 3_600_000;
 const FIGURES = {
   timeBetweenFailures: 55 * 24 * HOUR,
@@ -12,7 +13,9 @@
 interface ICase {
   readonly title: string;
   readonly engines: number;
+  /** Of group downtime and of stranded accelerators. */
   readonly weights: [number, number];
+  /** Milliseconds. */
   readonly returnTime?: number;
   readonly groups: number;
   readonly spares: number;
--- a/src/common/membership/digest_table_test.ts
+++ b/src/common/membership/digest_table_test.ts
@@ -28,7 +28,7 @@
   requester: fc.nat(4),
   responder: fc.nat(4),
   isPolling: fc.boolean(),
-  /** Delays of the request and of the answer. */
+  /** Delays of the request and of the answer, milliseconds. */
   requestDelay: fc.integer({ min: 0, max: 3_000 }),
   answerDelay: fc.integer({ min: 0, max: 3_000 }),
 });
@@ -77,8 +77,9 @@
     fc.assert(property, { seed: 6005, numRuns: 2_000 });
   });
 
-  // Guards against old reports that are taken as fresh once a daemon that was
-  // stalled publishes its polls again.
+  // Guards against old reports that are taken as fresh: a daemon that was
+  // stalled publishes its polls again, and if it reused the versions of its old
+  // row, the requester would keep the old reports with the new age.
   it("are distinguished from older ones that a daemon stopped publishing", () => {
     const requester = new DigestTable(0);
     const responder = new DigestTable(1);
--- a/src/common/membership/peers.ts
+++ b/src/common/membership/peers.ts
@@ -1,4 +1,4 @@
-/** The port to other daemons. */
+/** Interfaces for calls to and from other daemons. */
 import type { Result } from "ts-results-es";
 import type { IListText, PlanListName } from "../plans/types.ts";
 import type { IListVersion } from "../services/services.ts";
@@ -19,7 +19,7 @@
   readonly versions: readonly IListVersion[];
 }
 
-/** Calls to other daemons, by `host:port`. */
+/** Calls to other daemons, by `host:port`; timeouts are in milliseconds. */
 export interface IPeers {
   probe(
     address: string,
@@ -41,7 +41,7 @@
   ): Promise<Result<readonly IDigestRow[], ICallFailure>>;
   pullZones(
     address: string,
-    question: IZonesRequest,
+    request: IZonesRequest,
   ): Promise<Result<IZonesResponse, ICallFailure>>;
   fetchList(
     address: string,
@@ -59,6 +59,6 @@
   ): Promise<Result<IProbe, ICallFailure>>;
   view(): readonly IMemberUpdate[];
   digests(held: readonly IHeldRow[]): readonly IDigestRow[];
-  zones(question: IZonesRequest): IZonesResponse;
+  zones(request: IZonesRequest): IZonesResponse;
   listText(list: PlanListName): IListText | null;
 }
--- a/src/common/membership/rendezvous_test.ts
+++ b/src/common/membership/rendezvous_test.ts
@@ -27,17 +27,17 @@
 
   it("spreads duties evenly enough", () => {
     const daemons = names("daemon", 37);
-    const parts = new Map<string, number>();
+    const dutyCounts = new Map<string, number>();
     for (const duty of names("target", 2_550)) {
       for (const name of chooseByRendezvous(duty, daemons, {
         count: 2,
         hash,
       })) {
-        parts.set(name, (parts.get(name) ?? 0) + 1);
+        dutyCounts.set(name, (dutyCounts.get(name) ?? 0) + 1);
       }
     }
     const mean = (2_550 * 2) / 37;
-    expect(Math.max(...parts.values())).to.be.below(1.5 * mean);
+    expect(Math.max(...dutyCounts.values())).to.be.below(1.5 * mean);
   });
 
   it("gives a lone daemon every duty", () => {
--- a/src/common/membership/types.ts
+++ b/src/common/membership/types.ts
@@ -19,10 +19,10 @@
   readonly peerAddress: string;
 }
 
-/** A statement on one daemon; a higher incarnation is newer. */
+/** A statement about one daemon; a higher incarnation is newer. */
 export interface IMemberUpdate {
   readonly member: IMember;
-  /** Raised only by the daemon itself, to refute statements on it. */
+  /** Raised only by the daemon itself, to refute statements about it. */
   readonly incarnation: number;
   readonly state: MemberState;
 }
--- a/src/common/membership/update_queue.ts
+++ b/src/common/membership/update_queue.ts
@@ -6,7 +6,7 @@
 import type { DaemonId } from "../types.ts";
 import type { IMemberUpdate } from "./types.ts";
 
-/** Maximum updates in one message, which stays under about one packet. */
+/** Maximum updates in one message, so that it fits into about one packet. */
 export const MAXIMUM_UPDATES = 8;
 
 /** Sends per doubling of the number of members, as in SWIM's analysis. */
--- a/src/common/membership/zone_directory.ts
+++ b/src/common/membership/zone_directory.ts
@@ -10,7 +10,7 @@
 import { chooseByRendezvous } from "./rendezvous.ts";
 import type { IMember } from "./types.ts";
 
-/** Daemons of a zone that query other zones. */
+/** Number of daemons of a zone that query other zones. */
 export const DELEGATES = 2;
 
 /** The duty that is hashed to choose delegates; equal in all daemons. */
--- a/src/common/relay/store_relay_test.ts
+++ b/src/common/relay/store_relay_test.ts
@@ -14,7 +14,7 @@
 import { StoreRelay } from "./store_relay.ts";
 import type { IStoreUpdate } from "./types.ts";
 
-const AWAY = { kind: CallFailureKind.Refused, detail: "away" };
+const UNREACHABLE = { kind: CallFailureKind.Refused, detail: "unreachable" };
 const SEED = 20261203;
 const TARGETS = "targets";
 
@@ -92,7 +92,7 @@
   async list(kind: string): Promise<Result<IWatchResult, ICallFailure>> {
     this.calls += 1;
     if (this.isCut) {
-      return Err(AWAY);
+      return Err(UNREACHABLE);
     }
     return Ok(kind === TARGETS ? this.#store.list(kind) : this.#store.nothing);
   }
@@ -116,14 +116,14 @@
       });
     }
     if (wasCut) {
-      return Err(AWAY);
+      return Err(UNREACHABLE);
     }
     const { nothing } = this.#store;
     return Ok(kind === TARGETS ? this.#store.since(kind, after) : nothing);
   }
 
   async read() {
-    return Err(AWAY);
+    return Err(UNREACHABLE);
   }
 
   async write() {
@@ -335,7 +335,8 @@
     deployment.dispose();
   });
 
-  // Cuts, freezes and changes of the holder come in any order, also together.
+  // Guards against changes that arrive late or never, when cuts, freezes and
+  // changes of the holder come in any order, also together.
   it("brings each change in time to processes that reach the store", async () => {
     const step = fc.oneof(
       fc.record({ kind: fc.constant("put"), at: fc.nat(4) }),
@@ -350,7 +351,7 @@
         const deployment = new Deployment(3);
         await deployment.advance(1_000);
         for (const { kind, at } of steps) {
-          await act(deployment, kind, at);
+          await applyStep(deployment, kind, at);
         }
         await deployment.advance(CHANGE_BOUND);
         const { store, processes } = deployment;
@@ -366,7 +367,7 @@
   });
 });
 
-async function act(
+async function applyStep(
   deployment: Deployment,
   kind: string,
   at: number,
--- a/src/common/replicas/domain_summary.ts
+++ b/src/common/replicas/domain_summary.ts
@@ -30,7 +30,10 @@
     add(countsOf(domains, domain).groups, `${plan.model}:${phase}`);
   }
   for (const view of free) {
-    add(countsOf(domains, view.state?.domain ?? "").free, label(view, states));
+    add(
+      countsOf(domains, view.state?.domain ?? "").free,
+      labelOf(view, states),
+    );
   }
   return [...domains].sort(byName).map(([domain, counts]) => ({
     domain,
@@ -39,12 +42,12 @@
   }));
 }
 
-function label({ target, state }: IEngineView, states: IInstanceStates) {
+function labelOf({ target, state }: IEngineView, states: IInstanceStates) {
   if (states.isSlow(target.id)) {
     return "slow";
   }
-  const held = state?.staged.join("+") || "none";
-  return states.isStaging(target.id) ? "staging" : held;
+  const models = state?.staged.join("+") || "none";
+  return states.isStaging(target.id) ? "staging" : models;
 }
 
 interface IDomainCounts {
--- a/src/common/replicas/engine_monitor.ts
+++ b/src/common/replicas/engine_monitor.ts
@@ -14,8 +14,8 @@
 
 /**
  * Time between two reports of an engine that serves or is free, milliseconds.
- * Reports are charged, and the streams of a stalled group show the stall
- * sooner.
+ * Each report is charged, and the streams of a stalled group show the stall
+ * before a report would.
  */
 const CALM_REPORT_PERIOD = 900;
 
@@ -36,9 +36,9 @@
 
 /**
  * Time without new engines after which the list counts as complete,
- * milliseconds. It grows in bursts at a first start; groups formed from half a
- * domain are mostly small, and the large model is short for the rest of the
- * day.
+ * milliseconds. The list grows in bursts at a first start. Groups formed from
+ * half a domain are mostly small, and the large model then lacks groups for the
+ * rest of the day.
  */
 const LIST_SETTLED_AFTER = 1_000;
 
@@ -91,7 +91,10 @@
     return this.#registry.isOwnLinkSuspect;
   }
 
-  /** Polls the members of groups that processes found stalled, at once. */
+  /**
+   * Polls the members of groups that processes found stalled more frequently
+   * for a while, from the next pass on.
+   */
   suspectGroups(groups: readonly string[]): void {
     const until = this.#parts.clock.now() + SUSPICION_TIME;
     for (const group of groups) {
--- a/src/common/replicas/engine_registry.ts
+++ b/src/common/replicas/engine_registry.ts
@@ -56,13 +56,13 @@
   readonly answeredAt: MonotonicTime;
   readonly isSilent: boolean;
   /**
-   * Its whole zone does not answer this process, or may not. It may still serve
-   * its own zone, so its silence proves nothing.
+   * It is silent, and its whole zone is or may be cut off from this process. It
+   * may still serve its own zone, so its silence proves nothing.
    */
   readonly isUnreachable: boolean;
-  /** Start of the process that gave the latest report. */
+  /** Start of the process that gave the latest report, calendar milliseconds. */
   readonly startedAt: number;
-  /** Factor on its times, by its latest report; 1 before the first. */
+  /** Multiplier on its run times, by its latest report; 1 before the first. */
   readonly pace: number;
 }
 
--- a/src/common/replicas/engine_registry_test.ts
+++ b/src/common/replicas/engine_registry_test.ts
@@ -139,6 +139,8 @@
     expect(registry.views.get("engine-0")?.isUnreachable).to.equal(false);
   });
 
+  // Guards against acting on an outdated state: answers may arrive in another
+  // order than their requests were sent.
   it("does not let an older report replace a newer one", () => {
     const { registry } = registryOf(1);
     const newer = { ...REPORT, engine: engineState({ model: "large" }) };
--- a/src/common/replicas/group_adoption.ts
+++ b/src/common/replicas/group_adoption.ts
@@ -125,7 +125,10 @@
   }
 }
 
-/** An engine that is silent while its zone answers has ended. */
+/**
+ * Whether an engine may still report a membership. One that is silent while its
+ * zone answers has ended.
+ */
 function mayStillReport(view: IEngineView): boolean {
   const isUnpolled = view.state === null && !view.isSilent;
   return view.isListed && (view.isUnreachable || isUnpolled);
--- a/src/common/replicas/group_controller.ts
+++ b/src/common/replicas/group_controller.ts
@@ -114,8 +114,8 @@
   }
 
   /**
-   * Groups that will not serve again. An incomplete adopted group may, until
-   * its head has left it, because its other members may still report.
+   * Groups that will not serve again. An incomplete adopted group may serve
+   * again until its head has left it, since its other members may still report.
    */
   abandonedGroups(now: MonotonicTime): readonly string[] {
     const dissolving = this.groups.filter(
@@ -341,8 +341,9 @@
   }
 
   /**
-   * Whether the head no longer takes requests for this group: it said so, or it
-   * has been silent so long that it is dead or broken.
+   * Whether the head no longer takes requests for this group: it has left, or
+   * reports so, or has been unknown for so long that it is dead or broken, or is
+   * silent and no longer listed.
    */
   #isHeadReleased(
     group: IReplicaGroup,
@@ -352,11 +353,11 @@
     if (group.hasLeft) {
       return true;
     }
-    const bound = this.#times.stallTime + STALL_MARGIN;
+    const brokenAfter = this.#times.stallTime + STALL_MARGIN;
     const head = views.get(group.head ?? "");
     if (head === undefined) {
       // It may be alive and return to the list at any moment.
-      return now - group.phaseSince > bound;
+      return now - group.phaseSince > brokenAfter;
     }
     const hasReported = head.askedAt > group.phaseSince + this.#maxReportLag;
     if (hasReported) {
--- a/src/common/replicas/group_controller_test.ts
+++ b/src/common/replicas/group_controller_test.ts
@@ -19,7 +19,7 @@
   model: "small",
   members: ["head", "tail"],
 };
-/** Milliseconds by which reports lag behind. */
+/** Milliseconds by which reports lag behind, including REPORT_LAG_MARGIN. */
 const LAG = 300;
 
 function newController(): GroupController {
@@ -51,7 +51,7 @@
   );
 }
 
-/** A controller whose group serves at 1,000. */
+/** A controller whose group serves from 1,000 ms on. */
 function servingController(): GroupController {
   const controller = newController();
   const free = viewsOf(engineView("head"), engineView("tail"));
@@ -168,6 +168,8 @@
     expect(phases(controller)).to.deep.equal([GroupPhase.Serving]);
   });
 
+  // Guards against requests that stall in an open group which lost a member while
+  // the lease changed hands.
   it("dissolves an adopted group that is incomplete", () => {
     const controller = newController();
     const state = memberOf(PLAN, 0, MemberState.Open);
@@ -245,7 +247,8 @@
     ]);
   });
 
-  // The same while the member's zone is out of reach: it may be healthy.
+  // Guards against interrupting the streams of a healthy group: the lease
+  // changed hands, and one member's zone cannot be reached from the new holder.
   it("waits for a member whose zone is unreachable", () => {
     const controller = newController();
     const state = memberOf(PLAN, 0, MemberState.Open);
@@ -257,6 +260,8 @@
     expect(kinds(controller.reconcile(views, 100))).to.deep.equal([]);
   });
 
+  // Guards against joining an open head elsewhere: its first report arrives
+  // after the group was adopted as incomplete, without it.
   it("does not count a head as free that reports late", () => {
     const controller = newController();
     const tail = engineView("tail", { state: memberOf(PLAN, 1), askedAt: 100 });
--- a/src/common/replicas/group_reassignment.ts
+++ b/src/common/replicas/group_reassignment.ts
@@ -72,8 +72,8 @@
     ).length;
     const count = (closed.get(group.model) ?? 0) + 1;
     const isDispensable = excess(group.model) >= count - TOLERATED_DEFICIT;
-    const isOther = group.model !== shortModel.name && group.isServing;
-    if (group.domain === domain && isOther && isDispensable && gained > 0) {
+    const isClosable = group.model !== shortModel.name && group.isServing;
+    if (group.domain === domain && isClosable && isDispensable && gained > 0) {
       closed.set(group.model, count);
       groups.push(group.group);
       candidateCount += gained;
--- a/src/common/replicas/ideal_groups.ts
+++ b/src/common/replicas/ideal_groups.ts
@@ -12,14 +12,14 @@
 import type { IModel } from "../calls/types.ts";
 
 /**
- * Busy groups that each model counts for without calls, multiplied by its
- * share.
+ * Busy groups added to each model's demand, multiplied by its share, so that a
+ * model without calls counts as well.
  */
 const BASE_DEMAND = 0.2;
 
 /**
- * Returns the number of groups by model, as fractions, since rounding depends
- * on the caller.
+ * Returns the number of groups by model, not rounded, since how to round
+ * depends on the caller.
  *
  * @param demand - groups that the calls keep busy, by model
  * @param instances - number of instances that may be in groups
--- a/src/common/replicas/lease_manager.ts
+++ b/src/common/replicas/lease_manager.ts
@@ -18,7 +18,8 @@
 import type { DaemonId, MonotonicTime } from "../types.ts";
 
 /**
- * Name of the only record; in the product's own arrangement, a domain's name.
+ * Name of the only record. Where each domain has a lease of its own, a record
+ * has the domain's name.
  */
 const RECORD = "engines";
 
@@ -39,14 +40,18 @@
 };
 
 /**
- * Time between two reads while the holder answers, and while it does not,
- * milliseconds. While it answers, a read shows nothing that its next silence
- * would not.
+ * Time between two reads while the holder answers, milliseconds. Reads can be
+ * rare then, since the loss of the holder shows as its silence.
  */
 const HEALTHY_READ_PERIOD = 10_000;
+
+/**
+ * Time between two reads while no holder answers or none was read yet,
+ * milliseconds.
+ */
 const SILENT_READ_PERIOD = 300;
 
-/** Time between a failed write and the next, milliseconds. */
+/** Minimum time between a failed write and the next, milliseconds. */
 const PAUSE_AFTER_FAILURE = 250;
 
 /** Dependencies of {@link LeaseManager}. */
--- a/src/common/replicas/load_allowance.ts
+++ b/src/common/replicas/load_allowance.ts
@@ -14,6 +14,7 @@
 export interface ILoadBounds {
   /** Milliseconds. */
   readonly window: number;
+  /** Loads allowed, as a multiple of those the store can serve in a window. */
   readonly factor: number;
 }
 
--- a/src/common/replicas/load_allowance_test.ts
+++ b/src/common/replicas/load_allowance_test.ts
@@ -2,13 +2,14 @@
 import { LoadAllowance } from "./load_allowance.ts";
 
 const BOUNDS = { window: 5_000, factor: 1.1 };
+/** Loads per second. */
 const RATE = 5;
 
 describe("LoadAllowance", () => {
   // Guards against a slow weight store: the instances of a returning domain all
   // need weights, and halfway the lease passes to a holder that does not know
   // which loads have begun.
-  it("keeps two holders together within the bound of a window", () => {
+  it("keeps the loads of two holders in one window within the bound", () => {
     const begun = [new LoadAllowance(BOUNDS), new LoadAllowance(BOUNDS)].map(
       (allowance) => {
         let loads = 0;
--- a/src/common/replicas/order_dispatcher.ts
+++ b/src/common/replicas/order_dispatcher.ts
@@ -1,7 +1,8 @@
 /**
- * Sends orders, and resends each until it is answered. An unanswered order may
- * still be carried out seconds later. Resending it is harmless, since it names
- * its group and epoch, while dropping it would leave a group partly formed.
+ * Sends orders. Callers request an order again until it has had its effect,
+ * and it is then resent. An unanswered order may still be carried out seconds
+ * later. Resending it is harmless, since it names its group and epoch, while
+ * dropping it would leave a group partly formed.
  */
 import type { IClock } from "../services/services.ts";
 import type { MonotonicTime } from "../types.ts";
@@ -19,7 +20,7 @@
  */
 const ORDER_TIMEOUT = 300;
 
-/** Time between two sends of the same order, milliseconds. */
+/** Minimum time between two sends of the same order, milliseconds. */
 const RESEND_AFTER = 250;
 
 interface ISentOrder {
@@ -44,7 +45,10 @@
     this.#mayOrder = parts.mayOrder;
   }
 
-  /** Sends an order unless the same one was sent a moment ago. */
+  /**
+   * Sends an order if the lease covers it, unless the same one is in flight or
+   * was sent less than {@link RESEND_AFTER} ago.
+   */
   send(
     engine: IEngineAddress,
     order: EngineOrder,
--- a/src/common/replicas/plan_groups.ts
+++ b/src/common/replicas/plan_groups.ts
@@ -33,15 +33,15 @@
  * Share of its groups' time that a model's calls must ask for before groups of
  * another model are reassigned to it.
  */
-const REBALANCE_UTILIZATION = 0.85;
+const REASSIGN_UTILIZATION = 0.85;
 
 /** The same while a group of the model is being abandoned or formed. */
-const REBALANCE_UTILIZATION_WHILE_HEALING = 2;
+const REASSIGN_UTILIZATION_WHILE_HEALING = 2;
 
 /**
  * Groups that a model must lack of its ideal number before one is reassigned.
  */
-const REBALANCE_DEFICIT = 0.5;
+const REASSIGN_DEFICIT = 0.5;
 
 /**
  * Group members per spare, sized for the loss of a tenth to a fifth of them.
@@ -116,7 +116,7 @@
   for (const [domain, free] of domains) {
     planner.formGroups(domain, free);
   }
-  planner.rebalance();
+  planner.reassign();
   planner.prepareHosts();
   return planner.proposals;
 }
@@ -169,7 +169,7 @@
   }
 
   /** Closes groups of a model with spare capacity for a model that is short. */
-  rebalance(): void {
+  reassign(): void {
     const { models, activeGroups, reservedDomains, healingModels } =
       this.#input;
     const shortModel = this.#scarcest(models);
@@ -179,10 +179,10 @@
     // Only one domain at a time, and not for a group that recovers by itself:
     // it is back in a second or two, and closing others for it would lose both.
     const threshold = healingModels.has(shortModel.name)
-      ? REBALANCE_UTILIZATION_WHILE_HEALING
-      : REBALANCE_UTILIZATION;
+      ? REASSIGN_UTILIZATION_WHILE_HEALING
+      : REASSIGN_UTILIZATION;
     const isBusy = this.#utilization(shortModel) >= threshold;
-    const hasDeficit = -this.#excess(shortModel) >= REBALANCE_DEFICIT;
+    const hasDeficit = -this.#excess(shortModel) >= REASSIGN_DEFICIT;
     if (isBusy && hasDeficit && reservedDomains.size === 0) {
       this.#closing = findGroupsToReassign({
         shortModel,
--- a/src/common/replicas/plan_groups_test.ts
+++ b/src/common/replicas/plan_groups_test.ts
@@ -119,8 +119,9 @@
     expect(plan.closing[0]).to.be.oneOf(["a", "b", "c", "d", "e", "f"]);
   });
 
-  // The same with nothing free: one small group is not enough for a large one,
-  // and without a second the large model's callers wait for a load.
+  // Guards against closing too few groups when nothing is free: one small group
+  // is not enough for a large one, and without a second the large model's
+  // callers wait for a load.
   it("reassigns several small groups to a large one", () => {
     const activeGroups = ["a", "b", "c", "d", "e", "f"].map((name) =>
       activeGroup("small", name),
@@ -182,16 +183,16 @@
   it("reassigns no group to a model that recovers by itself", () => {
     const names = ["a", "b", "c", "d", "e", "f"];
     const activeGroups = names.map((name) => activeGroup("small", name));
-    const calm = inputWith({
+    const input = inputWith({
       activeGroups: [...activeGroups, activeGroup("large", "g")],
       demand: new Map([
         ["large", 1.5],
         ["small", 1],
       ]),
     });
-    expect(planGroups(calm).closing).to.have.length(2);
+    expect(planGroups(input).closing).to.have.length(2);
     const healingModels = new Set(["large"]);
-    expect(planGroups({ ...calm, healingModels }).closing).to.deep.equal([]);
+    expect(planGroups({ ...input, healingModels }).closing).to.deep.equal([]);
   });
 
   it("keeps all groups while each model has its share", () => {
--- a/src/common/replicas/process_count.ts
+++ b/src/common/replicas/process_count.ts
@@ -10,7 +10,10 @@
  */
 import type { MonotonicTime } from "../types.ts";
 
-/** Assumed before the number is known; the share of each is next to nothing. */
+/**
+ * Assumed before the number is known, so that each process uses only a
+ * negligible share of the allowance.
+ */
 export const INITIAL_PROCESS_COUNT = 100;
 
 /** How long a larger number is kept, milliseconds: the window of the bounds. */
--- a/src/common/replicas/replica_group.ts
+++ b/src/common/replicas/replica_group.ts
@@ -45,7 +45,7 @@
 export interface IReplicaGroup {
   readonly plan: IGroupPlan;
   readonly domain: DomainName;
-  /** Start of each member's process when the group was planned. */
+  /** Start of each member's process, calendar milliseconds, as of the plan. */
   readonly starts: ReadonlyMap<InstanceId, number>;
   phase: GroupPhase;
   phaseSince: MonotonicTime;
--- a/src/common/replicas/replica_service.ts
+++ b/src/common/replicas/replica_service.ts
@@ -121,7 +121,10 @@
     this.#owned.dispose();
   }
 
-  /** Polls the members of groups that processes found stalled, at once. */
+  /**
+   * Polls the members of groups that processes found stalled more frequently
+   * for a while, from the next pass on.
+   */
   suspectGroups(groups: readonly string[]): void {
     this.#monitor.suspectGroups(groups);
   }
--- a/src/common/replicas/slow_engines.ts
+++ b/src/common/replicas/slow_engines.ts
@@ -2,14 +2,14 @@
  * Finds engines that run far slower than their peers, and groups that are
  * better formed again without them.
  *
- * Some of the engines may become slow for some seconds. A group runs at the
- * pace of its slowest member, so with four members a few slow engines make most
- * groups slow: pauses grow alike in the streams of many groups, and answers miss their
+ * Some engines become slow for some seconds. A group runs at the pace of its
+ * slowest member, so with four members a few slow engines make most groups
+ * slow: pauses grow alike in the streams of many groups, and answers miss their
  * deadlines, while most engines are healthy and spares are idle. In new groups,
  * the healthy members serve within a second.
  *
  * Slow is relative: when most engines are slow together, no choice among them
- * helps, and none is set aside.
+ * helps, and none is excluded.
  */
 import type { IModel } from "../calls/types.ts";
 import type { InstanceId } from "../types.ts";
--- a/src/common/replicas/smoothed_demand.ts
+++ b/src/common/replicas/smoothed_demand.ts
@@ -1,18 +1,19 @@
 /**
- * Requests by model, averaged over some seconds. Momentary counts vary by a
- * third; a group reassigned because of such a swing would be reassigned back.
+ * Number of groups that the calls keep busy, by model, averaged over some
+ * seconds. Momentary numbers vary by a third; a group reassigned because of such
+ * a swing would be reassigned back.
  */
 import type { MonotonicTime } from "../types.ts";
 
 /** Time constant of the average, milliseconds: about three run times. */
 const TIME_CONSTANT = 3_000;
 
-/** Exponential moving average of each model's count. */
+/** Exponential moving average of each model's number. */
 export class SmoothedDemand {
   readonly #averages = new Map<string, number>();
   #updatedAt: MonotonicTime | null = null;
 
-  /** Adds the current counts and returns the averages. */
+  /** Adds the current numbers and returns the averages. */
   update(
     counts: ReadonlyMap<string, number>,
     now: MonotonicTime,
--- a/src/common/replicas/staging_tracker.ts
+++ b/src/common/replicas/staging_tracker.ts
@@ -3,8 +3,8 @@
 import type { EngineViews } from "./group_controller.ts";
 
 /**
- * Multiple of the load time after which a load that is not reported is
- * abandoned.
+ * Multiple of the load time after which a load that no report shows as done is
+ * considered ended.
  */
 const TIMEOUT_FACTOR = 2.5;
 
