--- a/src/common/groups/domain_lease_test.ts
+++ b/src/common/groups/domain_lease_test.ts
@@ -43,7 +43,7 @@
   readonly wait: number;
   readonly holder: number;
   readonly fault: Fault;
-  /** Length of a pause or delay in milliseconds, or versions a read is behind. */
+  /** Milliseconds of a pause or delay, or versions that a read is behind. */
   readonly amount: number;
 }
 
@@ -308,8 +308,9 @@
 }
 
 describe("a domain's lease", () => {
-  // Guards against engines ordered into two groups: a holder that was paused, or
-  // whose write's answer was lost, keeps sending orders while another takes over.
+  // Guards against engines ordered into two groups: a holder that was paused,
+  // or whose write's answer was lost, keeps sending orders while another takes
+  // over.
   it("never lets two holders order, and settles every write", () => {
     fc.assert(
       fc.property(SCHEDULES, (schedule) => {
--- a/src/common/membership/swim_membership_test.ts
+++ b/src/common/membership/swim_membership_test.ts
@@ -154,8 +154,8 @@
     );
   });
 
-  // Guards against messages that exceed a packet when many daemons join at once:
-  // a message holds MAXIMUM_UPDATES, and one more about its receiver.
+  // Guards against messages that exceed a packet when many daemons join at
+  // once: one holds at most MAXIMUM_UPDATES, and one more about its receiver.
   it("limits the updates in a message", () => {
     let largest = 0;
     const network = new SimulatedNetwork({
--- a/src/common/replicas/engine_registry.ts
+++ b/src/common/replicas/engine_registry.ts
@@ -60,9 +60,9 @@
    * may still serve its own zone, so its silence proves nothing.
    */
   readonly isUnreachable: boolean;
-  /** Start of the process that gave the latest report, calendar milliseconds. */
+  /** Start of the process that gave the latest report, in calendar ms. */
   readonly startedAt: number;
-  /** Multiplier on its run times, by its latest report; 1 before the first. */
+  /** Multiplier on its times, by its latest report; 1 before the first. */
   readonly pace: number;
 }
 
--- a/src/common/replicas/group_controller.ts
+++ b/src/common/replicas/group_controller.ts
@@ -342,8 +342,8 @@
 
   /**
    * Whether the head no longer takes requests for this group: it has left, or
-   * reports so, or has been unknown for so long that it is dead or broken, or is
-   * silent and no longer listed.
+   * reports so, or has been unknown for so long that it is dead or broken, or
+   * is silent and no longer listed.
    */
   #isHeadReleased(
     group: IReplicaGroup,
--- a/src/common/replicas/group_controller_test.ts
+++ b/src/common/replicas/group_controller_test.ts
@@ -168,8 +168,8 @@
     expect(phases(controller)).to.deep.equal([GroupPhase.Serving]);
   });
 
-  // Guards against requests that stall in an open group which lost a member while
-  // the lease changed hands.
+  // Guards against requests that stall in an open group which lost a member
+  // while the lease changed hands.
   it("dissolves an adopted group that is incomplete", () => {
     const controller = newController();
     const state = memberOf(PLAN, 0, MemberState.Open);
--- a/src/common/replicas/smoothed_demand.ts
+++ b/src/common/replicas/smoothed_demand.ts
@@ -1,7 +1,7 @@
 /**
  * Number of groups that the calls keep busy, by model, averaged over some
- * seconds. Momentary numbers vary by a third; a group reassigned because of such
- * a swing would be reassigned back.
+ * seconds. Momentary numbers vary by a third; a group reassigned because of
+ * such a swing would be reassigned back.
  */
 import type { MonotonicTime } from "../types.ts";
 
--- a/src/common/replicas/types.ts
+++ b/src/common/replicas/types.ts
@@ -9,7 +9,7 @@
   readonly startedAt: number;
   readonly queued: number;
   readonly running: number;
-  /** Multiplier on its run times; above 1 it is slow. */
+  /** Multiplier on its times; above 1 it is slow. */
   readonly pace: number;
   readonly engine: IEngineState;
 }
