--- a/src/common/decisions/account_admission.ts
+++ b/src/common/decisions/account_admission.ts
@@ -33,6 +33,7 @@
 
 /** A token bucket: fills at a rate, up to a capacity. */
 class RateBucket {
+  /** Null until the first refill, which fills it to its capacity. */
   #available: number | null = null;
   #filledAt: MonotonicTime = 0;
 
--- a/src/common/decisions/adaptive_limit.ts
+++ b/src/common/decisions/adaptive_limit.ts
@@ -34,9 +34,10 @@
 /**
  * Time inside the target before the first token above which the limit falls,
  * milliseconds: half the objective, since the other half is for queueing here.
- * Longer prompts get more.
  */
 export const FIRST_TOKEN_BOUND = FIRST_TOKEN_OBJECTIVE / 2;
+
+/** Added to that bound for each prompt token, milliseconds. */
 const BOUND_PER_PROMPT_TOKEN = 0.2;
 
 /**
@@ -64,6 +65,7 @@
 /** Limit of a target new to service, requests. */
 export const STARTING_LIMIT = 8;
 
+/** Bounds of the limit, requests. */
 const SMALLEST_LIMIT = 2;
 const LARGEST_LIMIT = 256;
 
--- a/src/common/decisions/fair_queue_test.ts
+++ b/src/common/decisions/fair_queue_test.ts
@@ -23,6 +23,8 @@
 }
 
 describe("fair queue", () => {
+  // Guards against turns by count instead of cost: the account with the larger
+  // requests would get most of the service.
   it("serves backlogged accounts equal cost, whatever the size of their requests", () => {
     const sizes = fc.array(fc.integer({ min: 1, max: 400 }), {
       minLength: 60,
@@ -76,6 +78,7 @@
     expect(queue.size).to.equal(MAXIMUM_WAITING);
   });
 
+  // Guards against long work taking the slots reserved for short work.
   it("takes only short work while only short slots are free", () => {
     const queue = new FairQueue();
     queue.add(makeWork(1, { askedTokens: 5_000, deadline: 100 }));
--- a/src/common/decisions/limit_share.ts
+++ b/src/common/decisions/limit_share.ts
@@ -70,6 +70,7 @@
   /** By borrower; each borrower uses only one of its loans at a time. */
   readonly #lent = new Map<DaemonId, readonly IActiveLoan[]>();
   readonly #borrowed = new Map<DaemonId, IActiveLoan>();
+  /** When each loan was requested, by the request's number. */
   readonly #requested = new Map<number, MonotonicTime>();
   #number = 0;
 
--- a/src/common/decisions/limit_share_test.ts
+++ b/src/common/decisions/limit_share_test.ts
@@ -95,9 +95,9 @@
   it("never sum to more than the limit, whatever the network does", () => {
     const steps = fc.array(stepArbitrary, { minLength: 40, maxLength: 200 });
     fc.assert(
-      fc.property(steps, (played) => {
+      fc.property(steps, (sequence) => {
         const network = new Network();
-        for (const step of played) {
+        for (const step of sequence) {
           network.apply(step);
           expect(network.usable).to.be.at.most(LIMIT + ROUNDING);
         }
--- a/src/common/decisions/load_cases_test.ts
+++ b/src/common/decisions/load_cases_test.ts
@@ -13,10 +13,11 @@
 import { Simulation } from "../../../bench/decisions/simulation.ts";
 import type { IScenario } from "../../../bench/decisions/simulation.ts";
 
+/** Headlines per second that 16 targets can serve. */
 const CAPACITY = 16 * measureCapacity(cases.headlines(100));
 const USUAL = CAPACITY * 0.6;
 
-function play(scenario: IScenario): Simulation {
+function simulate(scenario: IScenario): Simulation {
   return Simulation.run(scenario, (host) => new SchedulerPolicy(host));
 }
 
@@ -28,7 +29,7 @@
   // Guards against admitting everything at 1.5 times the capacity: all answers
   // are then late, since targets work on requests whose callers have left.
   it("keeps the goodput at saturation", () => {
-    const { all } = play(cases.scenario([cases.headlines(CAPACITY * 1.5)]));
+    const { all } = simulate(cases.scenario([cases.headlines(CAPACITY * 1.5)]));
     expect(all.goodput(10_000, 60_000)).to.be.above(CAPACITY * 0.95);
     expect(all.late).to.be.below(all.offered * 0.02);
   });
@@ -36,7 +37,7 @@
   // Guards against refusing accounts within their share while another account
   // sends four fifths of 1.5 times the capacity.
   it("serves accounts within their share while another floods", () => {
-    const simulation = play(cases.flood(CAPACITY * 1.5));
+    const simulation = simulate(cases.flood(CAPACITY * 1.5));
     for (const account of [1, 2, 3, 4].map((index) => `steady-${index}`)) {
       expect(simulation.resultsOf(account).onTimeShare, account).to.be.above(
         0.99,
@@ -48,7 +49,7 @@
   // targets busy long after it: first tokens would stay late although it is
   // over.
   it("recovers within twice the duration of a burst", () => {
-    const { all } = play(cases.burst(CAPACITY * 0.4));
+    const { all } = simulate(cases.burst(CAPACITY * 0.4));
     const after = all.series.filter(({ at }) => at > 35_000);
     const before = all.series.filter(({ at }) => at < 20_000);
     const usual = percentile(
@@ -63,8 +64,8 @@
   // Guards against a target that works at a fifth of its speed but reports that
   // it is healthy: each request sent there takes five times as long.
   it("keeps the service fast with one slow target", () => {
-    const usual = play(cases.scenario([cases.headlines(USUAL)]));
-    const slowed = play(cases.oneTarget(USUAL, cases.slowFirstTarget));
+    const usual = simulate(cases.scenario([cases.headlines(USUAL)]));
+    const slowed = simulate(cases.oneTarget(USUAL, cases.slowFirstTarget));
     const ratio = firstToken99(slowed) / firstToken99(usual);
     expect(ratio).to.be.below(1.1);
     expect(slowed.all.onTimeShare).to.equal(1);
@@ -73,7 +74,7 @@
   // Guards against a target that accepts requests and never answers: callers
   // sent there get nothing until their deadline.
   it("retries elsewhere what a silent target does not answer", () => {
-    const { all } = play(cases.oneTarget(USUAL, cases.silenceFirstTarget));
+    const { all } = simulate(cases.oneTarget(USUAL, cases.silenceFirstTarget));
     expect(all.onTimeShare).to.be.above(0.995);
     // Only the few probation requests may wait for it.
     const waited = all.series.filter(
@@ -87,8 +88,8 @@
   // waits.
   it("keeps headlines fast among long briefs", () => {
     const rate = CAPACITY * 0.3;
-    const alone = play(cases.longAmongShort(rate, false));
-    const among = play(cases.longAmongShort(rate, true));
+    const alone = simulate(cases.longAmongShort(rate, false));
+    const among = simulate(cases.longAmongShort(rate, true));
     const ratio =
       percentile(among.resultsOf("desk").firstTokens, 0.95) /
       percentile(alone.resultsOf("desk").firstTokens, 0.95);
@@ -102,7 +103,7 @@
     const scenario = cases.hotPrefix(CAPACITY * 0.3);
     const plain = Simulation.run(scenario, (host) => new RoundRobin(host));
     const ratio =
-      percentile(play(scenario).all.firstTokens, 0.95) /
+      percentile(simulate(scenario).all.firstTokens, 0.95) /
       percentile(plain.all.firstTokens, 0.95);
     expect(ratio).to.be.below(0.7);
   });
@@ -112,7 +113,7 @@
   // overload the remaining targets.
   it("adds few retries after an outage", () => {
     const span = { from: 20_000, to: 25_000, share: 0.75 };
-    const simulation = play(cases.outage(CAPACITY * 0.5, span));
+    const simulation = simulate(cases.outage(CAPACITY * 0.5, span));
     for (const [second, retries] of simulation.retriesBySecond.entries()) {
       const first = simulation.firstAttemptsBySecond[second] ?? 0;
       expect(retries ?? 0, `second ${second}`).to.be.at.most(first * 0.1 + 6);
@@ -124,7 +125,7 @@
   // them as the least loaded at once and would send them everything.
   it("returns a zone to service without a wave of late answers", () => {
     const span = { from: 20_000, to: 40_000, share: 0.5 };
-    const { all } = play(cases.outage(CAPACITY * 0.7, span));
+    const { all } = simulate(cases.outage(CAPACITY * 0.7, span));
     const later = all.series.filter(({ at }) => at > 45_000);
     const times = later.map((entry) => entry.firstToken);
     expect(percentile(times, 0.99)).to.be.below(820);
@@ -133,7 +134,7 @@
   // Guards against late refusals: a refused caller must still have time to go
   // elsewhere before its deadline.
   it("refuses well before the deadline", () => {
-    const { all } = play(cases.flood(CAPACITY * 1.5));
+    const { all } = simulate(cases.flood(CAPACITY * 1.5));
     const { deadline } = cases.HEADLINE;
     expect(Math.max(...all.refusalDelays)).to.be.below(deadline / 2);
     expect(percentile(all.refusalDelays, 0.8)).to.equal(0);
--- a/src/common/decisions/outlier_detector.ts
+++ b/src/common/decisions/outlier_detector.ts
@@ -68,13 +68,16 @@
 
 interface ITargetStatistics {
   health: TargetHealth;
+  /** Moving average of the time between tokens, milliseconds. */
   tokenGap: number;
   tokenGapSamples: number;
+  /** Moving average of the time to the first token, milliseconds. */
   firstToken: number;
   firstTokenSamples: number;
   /** When it last sent a token. */
   lastTokenAt: MonotonicTime;
   setAsideUntil: MonotonicTime;
+  /** How long it is set aside the next time, milliseconds. */
   setAsideTime: number;
   /** Requests without a first token, in the order sent. */
   readonly unanswered: Set<ISentRequest>;
--- a/src/common/decisions/routing.ts
+++ b/src/common/decisions/routing.ts
@@ -94,6 +94,10 @@
   return isPrefixPreferred ? prefixTarget : best;
 }
 
+/**
+ * The first target by id, an order that all daemons share, which is neither
+ * filled nor slower than 1.5 times the median.
+ */
 function choosePacked<T extends ICandidate>(open: readonly T[]): T | null {
   let first: T | null = null;
   for (const candidate of open) {
--- a/src/common/decisions/run_time_estimator.ts
+++ b/src/common/decisions/run_time_estimator.ts
@@ -40,6 +40,7 @@
 export class RunTimeEstimator {
   #firstToken = 0;
   #tokenGap = 0;
+  /** Tokens of an answer as a share of those requested. */
   #answerShare = 1;
   #longestAnswer = 0;
 
--- a/src/common/decisions/service_scheduler.ts
+++ b/src/common/decisions/service_scheduler.ts
@@ -245,10 +245,10 @@
   }
 }
 
-function refuse(work: IWorkItem, reason: Reason, late: number): ScheduleAction {
+function refuse(work: IWorkItem, reason: Reason, wait: number): ScheduleAction {
   const bounded = Math.min(
     LONGEST_RETRY_AFTER,
-    Math.max(SHORTEST_RETRY_AFTER, late),
+    Math.max(SHORTEST_RETRY_AFTER, wait),
   );
   const retryAfter = Math.ceil(bounded);
   return { kind: ScheduleActionKind.Refuse, work, reason, retryAfter };
--- a/src/common/decisions/service_scheduler_test.ts
+++ b/src/common/decisions/service_scheduler_test.ts
@@ -3,10 +3,11 @@
 import { ScheduleActionKind, ServiceScheduler } from "./service_scheduler.ts";
 import type { IWorkItem } from "./work_item.ts";
 
+/** Milliseconds from arrival. */
 const DEADLINE = 8_000;
 const TOKENS = 40;
 
-function workOf(account: string, index: number, now: number): IWorkItem {
+function makeWork(account: string, index: number, now: number): IWorkItem {
   return {
     id: `${account}-${index}`,
     account,
@@ -28,7 +29,7 @@
   let now = 0;
   for (let index = 0; index < 400; index += 1) {
     now += 10;
-    const work = workOf("flood", index, now);
+    const work = makeWork("flood", index, now);
     const actions = scheduler.submit(work, now);
     const isRefused = actions.some(
       ({ kind, work: one }) =>
@@ -37,9 +38,9 @@
     if (isRefused) {
       return { scheduler, now };
     }
-    const use = scheduler.targets.startRequest("only", work, now);
-    scheduler.targets.recordTokens(use, 1, now + 6_000);
-    scheduler.targets.recordTokens(use, 1, now + 7_000);
+    const request = scheduler.targets.startRequest("only", work, now);
+    scheduler.targets.recordTokens(request, 1, now + 6_000);
+    scheduler.targets.recordTokens(request, 1, now + 7_000);
     // The first request keeps running: the estimate is capped when none runs.
     if (index > 0) {
       scheduler.finish(work, TOKENS, now);
@@ -54,17 +55,18 @@
   // deadline.
   it("admits work of an account that is not part of the load", () => {
     const { scheduler, now } = flooded();
-    const quiet = workOf("quiet", 0, now);
+    const quiet = makeWork("quiet", 0, now);
     const refusals = scheduler
       .submit(quiet, now)
       .filter(({ kind }) => kind === ScheduleActionKind.Refuse);
     expect(refusals.map(({ work }) => work.id)).to.not.include("quiet-0");
   });
 
+  // Guards against an account taking more than one slot on a wrong guess.
   it("admits one trial at a time for each account", () => {
     const { scheduler, now } = flooded();
-    scheduler.submit(workOf("quiet", 0, now), now);
-    const second = workOf("quiet", 1, now);
+    scheduler.submit(makeWork("quiet", 0, now), now);
+    const second = makeWork("quiet", 1, now);
     const [refusal] = scheduler.submit(second, now);
     expect(refusal).to.include({
       kind: ScheduleActionKind.Refuse,
@@ -80,22 +82,22 @@
     const targets = [{ id: "only", reported: 0, describes: 0 }];
     scheduler.updateTargets({ targets, daemons: 1 }, 0);
     const started = Array.from({ length: 100 }, (_, index) =>
-      workOf("flood", index, 0),
+      makeWork("flood", index, 0),
     )
       .flatMap((work) => scheduler.submit(work, 0))
       .map(({ work }) => ({
         work,
-        use: scheduler.targets.startRequest("only", work, 0),
+        request: scheduler.targets.startRequest("only", work, 0),
       }));
     const [first, second] = started;
     if (first === undefined || second === undefined) {
       throw new Error("no two calls were started");
     }
-    const quiet = workOf("quiet", 0, 100);
+    const quiet = makeWork("quiet", 0, 100);
     expect(scheduler.submit(quiet, 100)).to.deep.equal([]);
     for (let round = 0; round < 40; round += 1) {
-      for (const { use } of started) {
-        scheduler.targets.recordTokens(use, 1, 1_000 + round * 500);
+      for (const { request } of started) {
+        scheduler.targets.recordTokens(request, 1, 1_000 + round * 500);
       }
     }
     const actions = scheduler.finish(first.work, TOKENS, 2_000);
@@ -104,10 +106,10 @@
       .map(({ work }) => work.account);
     expect(refused).to.include("flood");
     expect(refused).to.not.include("quiet");
-    const begun = [
+    const startedLater = [
       ...actions,
       ...scheduler.finish(second.work, TOKENS, 2_500),
     ].filter(({ kind }) => kind === ScheduleActionKind.Start);
-    expect(begun.map(({ work }) => work.account)).to.include("quiet");
+    expect(startedLater.map(({ work }) => work.account)).to.include("quiet");
   });
 });
--- a/src/common/decisions/spill.ts
+++ b/src/common/decisions/spill.ts
@@ -15,7 +15,10 @@
  */
 const MAXIMUM_SUMMARY_AGE = 15_000;
 
-/** Requests per place at which a zone counts as nearly full. */
+/**
+ * Requests running or queued per place at which a zone counts as nearly full. A
+ * place is a complete replica group or a ready plain target.
+ */
 const REQUESTS_PER_FULL_PLACE = 8;
 
 /**
--- a/src/common/decisions/spill_test.ts
+++ b/src/common/decisions/spill_test.ts
@@ -45,6 +45,8 @@
     expect(counts.get("half")).to.be.within(270, 400);
   });
 
+  // Guards against forwarding to a zone that has no complete group left, or
+  // whose summaries no longer arrive.
   it("skips zones that cannot serve or whose summary is old", () => {
     const counts = firstChoices([
       zone("failed", { places: 0, running: 0 }),
@@ -54,6 +56,7 @@
     expect([...counts]).to.deep.equal([["full", 1_000]]);
   });
 
+  // Guards against trying one zone twice while another is never tried.
   it("returns every usable zone once", () => {
     const zones = ["a", "b", "c"].map((name) =>
       zone(name, { places: 3, running: 2 }),
--- a/src/common/services/admission_service.ts
+++ b/src/common/services/admission_service.ts
@@ -45,6 +45,7 @@
   readonly #parts: IAdmissionParts;
   readonly #accounts = new Map<AccountName, AccountAdmission>();
   readonly #waiting = new Map<IWorkItem, (refusal: IRefusal | null) => void>();
+  /** Services whose scheduler is due to be advanced. */
   readonly #scheduled = new Set<ServiceName>();
 
   constructor(parts: IAdmissionParts) {
@@ -54,12 +55,12 @@
   /** Resolves when the request may run, or with a refusal. */
   async admit(request: ICallerRequest): Promise<IAdmission | IRefusal> {
     const work = workOf(request);
-    const asked = work.isCall ? 0 : work.askedTokens;
+    const requested = work.isCall ? 0 : work.askedTokens;
     const { plan } = request.account;
     const accountAdmission = this.#accountOf(work.account);
     const planRefusal = accountAdmission.admit(
       plan,
-      asked,
+      requested,
       this.#parts.clock.now(),
     );
     if (planRefusal !== null) {
@@ -70,11 +71,11 @@
     }
     const admitted = await this.#admitInZone(request, work);
     if ("outcome" in admitted) {
-      accountAdmission.finish(asked, 0);
+      accountAdmission.finish(requested, 0);
       return admitted;
     }
     return createAdmission((tokens) => {
-      accountAdmission.finish(asked, Math.min(asked, tokens ?? 0));
+      accountAdmission.finish(requested, Math.min(requested, tokens ?? 0));
       admitted.finish(tokens);
     });
   }
--- a/src/common/services/call_dispatcher.ts
+++ b/src/common/services/call_dispatcher.ts
@@ -89,17 +89,17 @@
     admitted: IAdmission,
   ): AsyncIterable<TokenBatch> {
     let tokens = 0;
-    let isWhole = false;
+    let isComplete = false;
     try {
       for await (const batch of this.#engines.stream(request)) {
         if (batch.isOk()) {
           tokens += batch.value.length;
-          isWhole = batch.value.at(-1)?.isEnd ?? false;
+          isComplete = batch.value.at(-1)?.isEnd ?? false;
         }
         yield batch;
       }
     } finally {
-      this.#finish(request, admitted, isWhole ? tokens : null);
+      this.#finish(request, admitted, isComplete ? tokens : null);
     }
   }
 
--- a/src/common/services/group_directory.ts
+++ b/src/common/services/group_directory.ts
@@ -49,7 +49,8 @@
   readonly #sources: IGroupSources;
   readonly #freshness: number;
   readonly #schedulers = new Map<ServiceName, ServiceScheduler>();
-  readonly #inUse = new Map<IChosenTarget, ITrackedRequest>();
+  /** Requests in flight, by the target chosen for each. */
+  readonly #inFlight = new Map<IChosenTarget, ITrackedRequest>();
 
   constructor(sources: IGroupSources, freshness: number) {
     this.#sources = sources;
@@ -102,29 +103,29 @@
   beginRequest(target: IChosenTarget): () => void {
     const { clock } = this.#sources;
     const { targets } = this.schedulerOf(target.service);
-    const use = targets.startRequest(target.id, target.work, clock.now());
-    this.#inUse.set(target, use);
+    const request = targets.startRequest(target.id, target.work, clock.now());
+    this.#inFlight.set(target, request);
     return () => {
-      targets.endRequest(use, clock.now());
-      this.#inUse.delete(target);
+      targets.endRequest(request, clock.now());
+      this.#inFlight.delete(target);
     };
   }
 
   /** Records tokens received from a target; 1 for a plain call's answer. */
   recordTokens(target: IChosenTarget, tokens: number): void {
-    const use = this.#inUse.get(target);
-    if (use !== undefined && tokens > 0) {
+    const request = this.#inFlight.get(target);
+    if (request !== undefined && tokens > 0) {
       const { targets } = this.schedulerOf(target.service);
-      targets.recordTokens(use, tokens, this.#sources.clock.now());
+      targets.recordTokens(request, tokens, this.#sources.clock.now());
     }
   }
 
   /** Records that reading resumes: the caller's pause is not the target's. */
   recordReadResumed(target: IChosenTarget): void {
-    const use = this.#inUse.get(target);
-    if (use !== undefined) {
+    const request = this.#inFlight.get(target);
+    if (request !== undefined) {
       const { targets } = this.schedulerOf(target.service);
-      targets.resumeRequest(use, this.#sources.clock.now());
+      targets.resumeRequest(request, this.#sources.clock.now());
     }
   }
 
--- a/src/common/services/plan_list_service.ts
+++ b/src/common/services/plan_list_service.ts
@@ -40,7 +40,7 @@
   isWatcher(): boolean;
 }
 
-/** Keeps a {@link EffectivePlans} up to date. */
+/** Keeps an {@link EffectivePlans} up to date. */
 export class PlanListService implements IDisposable {
   readonly #ports: IPlanListPorts;
   readonly #plans = new EffectivePlans();
--- a/src/common/services/run_record_service_test.ts
+++ b/src/common/services/run_record_service_test.ts
@@ -25,7 +25,7 @@
   NotApplied = "not_applied",
   /** The call is applied, but its answer is lost. */
   LostAnswer = "lost_answer",
-  /** The call times out, and is applied later or not before the end. */
+  /** The call times out; it is applied later, perhaps after the test. */
   Late = "late",
 }
 
--- a/src/common/services/run_record_sweeper_test.ts
+++ b/src/common/services/run_record_sweeper_test.ts
@@ -5,6 +5,7 @@
 import { RunRecordSweeper } from "./run_record_sweeper.ts";
 import type { IPlatform } from "./services.ts";
 
+/** Milliseconds. */
 const HOUR = 3_600_000;
 const NOW = 1_000 * HOUR;
 
--- a/src/common/services/services.ts
+++ b/src/common/services/services.ts
@@ -213,7 +213,7 @@
 
 /** Timeouts of an engine's answer, and the signal that cancels it. */
 export interface IGenerateOptions {
-  /** Milliseconds. */
+  /** Longest time to the first token, milliseconds. */
   readonly firstTokenWithin: number;
   /** Longest time between two tokens, milliseconds. */
   readonly nextTokenWithin: number;
--- a/src/common/services/work_of.ts
+++ b/src/common/services/work_of.ts
@@ -34,10 +34,10 @@
 function sizeOf(body: unknown) {
   const { prompt, maximum_tokens } = (body ?? {}) as Record<string, unknown>;
   const text = typeof prompt === "string" ? prompt : "";
-  const isNumber = typeof maximum_tokens === "number" && maximum_tokens > 0;
+  const hasMaximum = typeof maximum_tokens === "number" && maximum_tokens > 0;
   return {
     promptTokens: Math.ceil(text.length / CHARACTERS_PER_TOKEN),
-    askedTokens: isNumber ? maximum_tokens : DEFAULT_MAXIMUM_TOKENS,
+    askedTokens: hasMaximum ? maximum_tokens : DEFAULT_MAXIMUM_TOKENS,
     prefix:
       text.length > PREFIX_CHARACTERS ? text.slice(0, PREFIX_CHARACTERS) : "",
   };
