--- a/src/adapters/callers/http_caller_server.ts
+++ b/src/adapters/callers/http_caller_server.ts
@@ -40,7 +40,10 @@
 const HEADERS_TIMEOUT = 5_000;
 const REQUEST_TIMEOUT = 15_000;
 
-/** Milliseconds; at Node's default of 30 s, slow senders pile up. */
+/**
+ * How often the two timeouts are checked, milliseconds; at Node's default of
+ * 30 s, slow senders pile up.
+ */
 const CONNECTION_CHECK_INTERVAL = 1_000;
 
 /** How long `stop` waits for the last bytes to be sent, milliseconds. */
--- a/src/adapters/exchange/inner_server.ts
+++ b/src/adapters/exchange/inner_server.ts
@@ -51,8 +51,8 @@
   readonly #handler: IInnerServerHandler;
   readonly #server: Server;
 
-  constructor(answers: IInnerServerHandler) {
-    this.#handler = answers;
+  constructor(handler: IInnerServerHandler) {
+    this.#handler = handler;
     this.#server = createServer((request, response) => {
       void this.#answer(request, response);
     });
--- a/src/adapters/peers/grpc_forwarder.ts
+++ b/src/adapters/peers/grpc_forwarder.ts
@@ -100,7 +100,10 @@
   }
 }
 
-/** An unknown outcome is in doubt; an unknown reason means a lost target. */
+/**
+ * An unrecognized outcome is read as {@link Outcome.Unknown}, since the request
+ * may have run, and an unrecognized reason as {@link Reason.TargetLost}.
+ */
 function readRefusal(refusal: ForwardRefusal__Output): IRefusal {
   const { detail, outcome, retryAfter } = refusal;
   const reasons = Object.values(Reason);
--- a/src/adapters/peers/grpc_peer_server.ts
+++ b/src/adapters/peers/grpc_peer_server.ts
@@ -31,12 +31,11 @@
 export class GrpcPeerServer {
   readonly #server = new Server();
   readonly #handler: IPeerRequestHandler;
-
   readonly #credentials: IPeerCredentials;
 
-  constructor(answers: IPeerRequestHandler, options: IPeerServerOptions) {
+  constructor(handler: IPeerRequestHandler, options: IPeerServerOptions) {
     this.#credentials = options.credentials;
-    this.#handler = answers;
+    this.#handler = handler;
     const handlers = this.#handlers();
     this.#server.addService(peerApi.cranberryledge.Peer.service, {
       ...handlers,
--- a/src/adapters/targets/target_connections.ts
+++ b/src/adapters/targets/target_connections.ts
@@ -24,7 +24,10 @@
 /** The pool to use for one call. */
 export interface ITargetPool {
   readonly dispatcher: Dispatcher;
-  /** Aborted when a call that has received nothing yet waits in vain. */
+  /**
+   * Aborted when the target answers on a newer pool while this one is silent: a
+   * call that has received nothing yet will get no answer.
+   */
   readonly connectionLost: AbortSignal;
 }
 
--- a/src/adapters/text_file.ts
+++ b/src/adapters/text_file.ts
@@ -8,7 +8,7 @@
 } from "../common/plans/findings.ts";
 import type { IFinding } from "../common/plans/types.ts";
 
-/** Maximum size in UTF-8 of a text with `MAXIMUM_TEXT` characters. */
+/** Maximum bytes of a text with {@link MAXIMUM_TEXT_LENGTH} characters. */
 const MAXIMUM_BYTES = 4 * MAXIMUM_TEXT_LENGTH;
 
 /** Returns the file's text, or why it cannot be read. */
--- a/src/daemon/daemon.ts
+++ b/src/daemon/daemon.ts
@@ -47,7 +47,10 @@
 /** Name of the duty to remove old run records for the zone. */
 const SWEEP_DUTY = "run_records";
 
-/** A poll that is late by this share of the freshness indicates a pause. */
+/**
+ * A poll that is late by more than this share of the freshness limit indicates
+ * that the process was paused.
+ */
 const POLL_PAUSE_SHARE = 0.2;
 
 /** The addresses on which a daemon listens. */
@@ -395,7 +398,7 @@
         requirePeerService().relayProbe(probe, target),
       view: () => requirePeerService().view,
       digests: (held) => this.#digests.answerPull(held),
-      zones: (question) => requirePeerService().answerZones(question),
+      zones: (request) => requirePeerService().answerZones(request),
       listText: (list) => this.#planLists.plans.text(list),
     };
     const { forwardService } = this.#pipeline;
--- a/src/daemon/domain_options.ts
+++ b/src/daemon/domain_options.ts
@@ -10,13 +10,19 @@
 /** Share of the takeover margin for which an order stays valid. */
 const ORDER_VALIDITY_SHARE = 0.5;
 
-/** Share of the takeover margin by which a holder stops before lease end. */
+/**
+ * Share of the takeover margin by which a holder stops sending orders before
+ * its lease ends.
+ */
 const SAFETY_SHARE = 0.25;
 
 /** A gap between ticks longer than this share of the lease is a pause. */
 const PAUSE_SHARE = 0.2;
 
-/** Half-life of losses in longest holds, so that it exceeds any hold. */
+/**
+ * Half-life of the count of past losses, as a multiple of the longest hold:
+ * losses are forgotten more slowly than any hold lasts.
+ */
 const FORGET_FACTOR = 2;
 
 const DAY_MS = 24 * 3_600_000;
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -49,17 +49,26 @@
   return_time: durationSchema.default(30 * 60_000),
   /** From a failure until a group serves again when a spare is available. */
   heal_time: durationSchema.default(60_000),
-  /** Fixed share of spare engines; overrides the share computed from above. */
+  /** Fixed share of spare engines, not one computed from the fields above. */
   spare_share: z.number().min(0).max(0.5).optional(),
+  /** Duration of a domain's lease from each renewal. */
   lease: durationSchema.default(5_000),
+  /** How long other daemons wait beyond the lease before they take over. */
   takeover_margin: durationSchema.default(2_000),
+  /** How often the holder renews its lease. */
   renew_every: durationSchema.default(1_500),
+  /** Maximum age of the reports by which a group or target may serve. */
   freshness: durationSchema.default(2_000),
+  /** How long a member may be silent before it counts as lost. */
   replace_after: durationSchema.default(4_000),
   /** Maximum engines of a domain that load from the weight store at once. */
   concurrent_loads: z.number().int().positive().default(8),
-  /** How long a member that was lost twice is excluded from groups. */
+  /**
+   * How long a member that was lost twice is excluded from groups; each further
+   * loss more than doubles it.
+   */
   hold_after_loss: durationSchema.default(15_000),
+  /** The longest exclusion, however often a member was lost. */
   longest_hold: durationSchema.default(300_000),
 });
 
@@ -67,11 +76,15 @@
 const listsSchema = z.strictObject({
   /** Daemons per zone that watch; others poll and are notified by peers. */
   watchers: z.number().int().positive().max(10).default(2),
+  /** How long a watch waits for a change. */
   watch: durationSchema.default(2_500),
+  /** How often all lists are read, also by daemons that watch. */
   poll: durationSchema.default(30_000),
+  /** The longest pause after failures. */
   longest_retry: durationSchema.default(2_500),
 });
 
+/** How often each is read, and the timeout of reading a target's report. */
 const pollingSchema = z.strictObject({
   targets: durationSchema.default(500),
   timeout: durationSchema.default(1_000),
