--- a/src/common/decisions/fair_queue.ts
+++ b/src/common/decisions/fair_queue.ts
@@ -7,9 +7,9 @@
  * higher priority goes before a lower one, and within an account the earliest
  * deadline goes first.
  *
- * The size is bounded: when a priority's queue is full, the item evicted is the
- * latest of the account with the most cost waiting, so that a flood evicts its
- * own items.
+ * The size is bounded: when a priority's queue is full, the account with the
+ * most cost waiting loses its latest short item, or its latest long one if it
+ * has no short ones, so that a flood evicts its own items.
  */
 import type { AccountName } from "../types.ts";
 import { costOf, isLong } from "./work_item.ts";
