--- a/src/common/calls/demand_estimator.ts
+++ b/src/common/calls/demand_estimator.ts
@@ -11,13 +11,13 @@
 import { prefillMs, stepTime } from "./engine_timing.ts";
 import type { IEngineProfile, IModel, ITokenEstimate } from "./types.ts";
 
-/** Time constant of the rate, milliseconds: some run times. */
+/** Time constant of the rate, milliseconds: a few times a call's run time. */
 const TIME_CONSTANT = 4_000;
 
-/** Share of the announced maximum output that is assumed at first. */
+/** Initial estimate of the share of the announced output that is generated. */
 const INITIAL_OUTPUT_SHARE = 0.5;
 
-/** Weight of the newest response in the share of the output. */
+/** Weight of the newest response in the share of the announced output. */
 const NEWEST_WEIGHT = 1 / 32;
 
 /** The demand for one model in one process. */
@@ -44,7 +44,8 @@
   /**
    * Records a complete response.
    *
-   * @param written - tokens
+   * @param written - generated tokens
+   * @param announced - maximum number of tokens, as the caller announced it
    */
   recordOutput(written: number, announced: number): void {
     if (announced > 0) {
--- a/src/common/calls/drain_rate.ts
+++ b/src/common/calls/drain_rate.ts
@@ -5,7 +5,10 @@
  */
 import type { MonotonicTime } from "../types.ts";
 
-/** Span over which the rate is measured, milliseconds: some run times. */
+/**
+ * Span over which the rate is measured, milliseconds: a few times a call's run
+ * time.
+ */
 const WINDOW = 3_000;
 
 /** Shortest and longest retry-after time, milliseconds. */
@@ -24,14 +27,18 @@
     this.#expire(now);
   }
 
-  /** Milliseconds until so many calls are started; infinite while none are. */
+  /** Milliseconds until `waiting` calls are started; infinite if none are. */
   timeToDrain(waiting: number, now: MonotonicTime): number {
     this.#expire(now);
     const rate = this.#starts.length / WINDOW;
     return rate === 0 ? Number.POSITIVE_INFINITY : waiting / rate;
   }
 
-  /** Milliseconds after which a refused caller finds room. */
+  /**
+   * Milliseconds after which a refused caller finds a free slot.
+   *
+   * @param chance - random number in [0, 1)
+   */
   retryAfter(waiting: number, now: MonotonicTime, chance: number): number {
     const time = Math.min(LONGEST_RETRY_AFTER, this.timeToDrain(waiting, now));
     return Math.max(
--- a/src/common/calls/engine_timing.ts
+++ b/src/common/calls/engine_timing.ts
@@ -1,11 +1,11 @@
 /** The expected times of a group, by the published profile of its engine. */
 import type { IEngineProfile, IModel, ITokenEstimate } from "./types.ts";
 
-/** Units of the published figures: a thousand tokens, a million pairs. */
+/** Units of the published figures: 1,000 tokens, 1,000,000 token pairs. */
 const THOUSAND = 1_000;
 const MILLION = 1_000_000;
 
-/** Milliseconds of one token step with so many requests in decoding. */
+/** Milliseconds of one token step with `running` requests in decoding. */
 export function stepTime(
   engine: IEngineProfile,
   running: number,
@@ -44,7 +44,7 @@
   return fullBatchGap(engine, model) + chunkTime(engine, model);
 }
 
-/** The same in the worst regular case: each step prefills a chunk. */
+/** The same as {@link gapDuringPrefill}, but each step prefills a chunk. */
 export function longestGap(engine: IEngineProfile, model: IModel): number {
   const prefill = chunkTime(engine, model) * engine.stride;
   return fullBatchGap(engine, model) + prefill;
--- a/src/common/calls/model_attempts_test.ts
+++ b/src/common/calls/model_attempts_test.ts
@@ -7,17 +7,21 @@
 import type { IRecordedSend } from "../../../test/support/model_calls_harness.ts";
 import { SendFailure } from "./types.ts";
 
+/** Targets that may run one call, by the harness's route. */
 const ATTEMPTS = 2;
 const GROUPS = ["a", "b", "c", "d", "e"];
+/** Simulation step, milliseconds. */
 const STEP = 20;
 /** Longer than the latest deadline, milliseconds. */
-const PLAYED_TIME = 10_000;
+const SIMULATED_TIME = 10_000;
 /** Latency of requests, events and aborts, milliseconds. */
 const LATENCY = 60;
+/** Time between two events, milliseconds. */
 const EVENT_GAP = 40;
+/** Id of the last event. */
 const LAST_EVENT = 5;
 
-enum Outcome {
+enum TargetOutcome {
   Whole = "whole",
   /** The group has lost a member and starts nothing. */
   Stalled = "still",
@@ -29,13 +33,13 @@
 
 /** What a target does with one send. */
 interface ITargetPlan {
-  readonly outcome: Outcome;
+  readonly outcome: TargetOutcome;
   /** Milliseconds until it starts to run the call. */
   readonly delay: number;
 }
 
 const PLAN: fc.Arbitrary<ITargetPlan> = fc.record({
-  outcome: fc.constantFrom(...Object.values(Outcome)),
+  outcome: fc.constantFrom(...Object.values(TargetOutcome)),
   delay: fc.nat({ max: 600 }),
 });
 
@@ -67,7 +71,7 @@
       this.#abortedAt = Math.min(this.#abortedAt, now);
     }
     const beginsAt = this.#sentAt + LATENCY + this.#plan.delay;
-    const isStalled = this.#plan.outcome === Outcome.Stalled;
+    const isStalled = this.#plan.outcome === TargetOutcome.Stalled;
     if (!isStalled && now >= beginsAt && beginsAt < this.#abortedAt + LATENCY) {
       this.hasRun = true;
       this.#answer(now - beginsAt - LATENCY);
@@ -84,7 +88,7 @@
       return;
     }
     const { receiver } = this.#send.options;
-    if (this.#plan.outcome === Outcome.Failure) {
+    if (this.#plan.outcome === TargetOutcome.Failure) {
       this.#isFinished = true;
       receiver.onHead({ ...SUCCESS_HEAD, status: 500 });
       receiver.onEnd();
@@ -96,7 +100,7 @@
     while (this.#events < LAST_EVENT && age >= this.#events * EVENT_GAP) {
       this.#events += 1;
       this.#harness.deliverEvent(this.#index, this.#events);
-      if (this.#plan.outcome === Outcome.Reset && this.#events > 1) {
+      if (this.#plan.outcome === TargetOutcome.Reset && this.#events > 1) {
         this.#isFinished = true;
         receiver.onFailure(SendFailure.Broken, "reset");
         return;
@@ -123,7 +127,7 @@
             harness.submit({ id: `attempt-${call}` });
           }
           const targets: Target[] = [];
-          for (let time = 0; time < PLAYED_TIME; time += STEP) {
+          for (let time = 0; time < SIMULATED_TIME; time += STEP) {
             for (
               let next = targets.length;
               next < harness.sends.length;
--- a/src/common/calls/model_calls.ts
+++ b/src/common/calls/model_calls.ts
@@ -24,7 +24,7 @@
 /** Silence after which a call without a response is ended, milliseconds. */
 const HOPELESS_SILENCE = 2_000;
 
-/** Lost groups remembered: all groups that open calls can have been sent to. */
+/** Lost groups remembered: enough for all that open calls were sent to. */
 const MAXIMUM_LOST_GROUPS = 500;
 
 /** The demand of one process for a model. */
@@ -457,11 +457,11 @@
 
 /** The load of a group with one more call sent to it. */
 function withCall(group: ILoadedGroup, run: ModelRun): ILoadedGroup {
-  const readTime = run.currentSend?.stream.prefillTime ?? 0;
+  const prefillTime = run.currentSend?.stream.prefillTime ?? 0;
   return {
     ...group,
     ownInFlight: group.ownInFlight + 1,
-    ownPrefillTime: group.ownPrefillTime + readTime,
+    ownPrefillTime: group.ownPrefillTime + prefillTime,
   };
 }
 
--- a/src/common/calls/model_calls_test.ts
+++ b/src/common/calls/model_calls_test.ts
@@ -55,6 +55,8 @@
     expect(reply.isEnded).to.equal(true);
   });
 
+  // Guards against calls that wait for the limit on silence in a group that the
+  // lease holder already knows to be lost.
   it("retries at once when the lease holder abandons a group", () => {
     const harness = new Harness(["a", "b"]);
     harness.submit();
@@ -82,6 +84,8 @@
     expect(harness.sends).to.have.length(1);
   });
 
+  // Guards against a call that runs twice: a target has started it, but its
+  // caller is told that it has not run, and retries it.
   it("reports not run only if no target can have started", () => {
     const harness = new Harness(["a"]);
     const route = routeOf({ isResumable: false });
@@ -109,6 +113,7 @@
     expect(reply.refusal?.retryAfter).to.be.greaterThan(0);
   });
 
+  // Guards against slots occupied by calls whose callers have disconnected.
   it("aborts its send when the caller disconnects", () => {
     const harness = new Harness(["a"]);
     const { leave } = harness.submit();
@@ -117,6 +122,8 @@
     expect(harness.groups.ownInFlight.size).to.equal(0);
   });
 
+  // Guards against callers that wait past their deadline for a target that
+  // never responds.
   it("answers at the deadline whatever the target does", () => {
     const harness = new Harness(["a"]);
     const route = routeOf({ isResumable: false });
@@ -176,8 +183,8 @@
     expect(reply.isEnded).to.equal(true);
   });
 
-  // Guards against callers held until the limit on silence although nothing
-  // more can come from their group.
+  // Guards against callers that wait through the long silence allowed to a slow
+  // group although nothing more can come from a lost one.
   it("ends a silent stream of a lost group soon if it cannot be retried", () => {
     const harness = new Harness(["a", "b"], 0);
     const reply = startAndLoseGroup(harness);
@@ -212,14 +219,14 @@
       harness.deliverEvent(0, id);
       harness.deliverEvent(1, id);
     }
-    const prompt = harness.submit({ id: "prompt" });
+    const newest = harness.submit({ id: "newest" });
     first.leave();
     expect(harness.sends).to.have.length(3);
     const [waiting] = late;
     expect(waiting?.reply.refusal).to.equal(null);
     harness.getSend(2).options.receiver.onHead(SUCCESS_HEAD);
     harness.deliverEvent(2, 1);
-    expect(prompt.reply.isStarted).to.equal(true);
+    expect(newest.reply.isStarted).to.equal(true);
   });
 
   // Guards against calls that run more often than their route allows: slow
--- a/src/common/calls/model_queue.ts
+++ b/src/common/calls/model_queue.ts
@@ -26,7 +26,8 @@
 /** Longest wait while the model has no group at all, milliseconds. */
 const GROUPLESS_TIMEOUT = 1_000;
 
-const ALL_ROOM = { forShort: true, forLong: true };
+/** Slots for {@link FairQueue.take}: a group runs short and long work. */
+const ANY_WORK = { forShort: true, forLong: true };
 
 /** Waiting calls, and the rate at which they are started. */
 export class ModelQueue {
@@ -57,7 +58,7 @@
 
   takeNext(now: MonotonicTime): ModelRun | null {
     this.#demoteOverdue(now);
-    const item = this.#queue.take(ALL_ROOM);
+    const item = this.#queue.take(ANY_WORK);
     if (item === null) {
       return null;
     }
--- a/src/common/calls/model_run.ts
+++ b/src/common/calls/model_run.ts
@@ -86,10 +86,10 @@
   hasRetryGrant = false;
   #targetsThatRan = 0;
   /**
-   * Groups abandoned before any event. A group that was only slow may have
-   * started to run the call all the same.
+   * Groups whose send was aborted before any event. A group that was only slow
+   * may have started to run the call all the same.
    */
-  readonly #abandonedGroups: string[] = [];
+  readonly #abortedGroups: string[] = [];
   #lastEventId: string | null;
   #splitter = new EventSplitter();
   #head: IResponseHead | null = null;
@@ -158,7 +158,7 @@
   #hasAttempts(uncounted: number): boolean {
     const { maximumAttempts } = this.call.route;
     const delivered = this.#sendCount - this.#undeliveredSends;
-    const mayHaveStarted = this.#abandonedGroups.filter(
+    const mayHaveStarted = this.#abortedGroups.filter(
       (group) => !this.#owner.isLostGroup(group),
     );
     const ran = this.#targetsThatRan + mayHaveStarted.length + uncounted;
@@ -186,7 +186,7 @@
   abort(): void {
     this.#sendHandle?.abort();
     if (!this.#hasEvents && this.currentSend !== null) {
-      this.#abandonedGroups.push(this.currentSend.group.group);
+      this.#abortedGroups.push(this.currentSend.group.group);
     }
     this.#sendHandle = null;
     this.mayHaveRun = true;
@@ -195,7 +195,7 @@
   onHead(head: IResponseHead): void {
     this.#head = head;
     if (head.isForOtherRequest) {
-      this.#abandonSend(SendOutcome.Broken, "answer to another request");
+      this.#abortSend(SendOutcome.Broken, "answer to another request");
     }
   }
 
@@ -211,20 +211,20 @@
     if (events.length > 0) {
       this.#owner.onEvents(this);
     } else if (this.#splitter.isTooLong) {
-      this.#abandonSend(SendOutcome.Broken, "event exceeds the size limit");
+      this.#abortSend(SendOutcome.Broken, "event exceeds the size limit");
     }
   }
 
   onEnd(): void {
     const head = this.#head;
     if (head === null) {
-      this.#abandonSend(SendOutcome.Broken, "response ended without a head");
+      this.#abortSend(SendOutcome.Broken, "response ended without a head");
     } else if (head.isNotRun) {
-      this.#abandonSend(SendOutcome.NotRun, `status ${head.status}`);
+      this.#abortSend(SendOutcome.NotRun, `status ${head.status}`);
     } else if (!this.#isStream) {
       this.#passOnComplete(head);
     } else if (this.#splitter.hasPartialEvent) {
-      this.#abandonSend(SendOutcome.Broken, "response ended within an event");
+      this.#abortSend(SendOutcome.Broken, "response ended within an event");
     } else {
       this.#startReply(head);
       this.#endSend(SendOutcome.Whole, "");
@@ -283,7 +283,7 @@
     this.mayHaveRun = true;
     if (this.reply.isStarted) {
       this.#targetsThatRan += 1;
-      this.#abandonSend(
+      this.#abortSend(
         SendOutcome.Broken,
         `status ${head.status} on resumption`,
       );
@@ -297,7 +297,8 @@
     this.#endSend(SendOutcome.Whole, `status ${head.status}`);
   }
 
-  #abandonSend(end: SendOutcome, detail: string): void {
+  /** Aborts the request, if it still runs, and ends the send. */
+  #abortSend(end: SendOutcome, detail: string): void {
     this.#sendHandle?.abort();
     this.#endSend(end, detail);
   }
--- a/src/common/calls/object_follower.ts
+++ b/src/common/calls/object_follower.ts
@@ -2,12 +2,12 @@
  * Follows all objects of one kind in the store: lists them once, then watches.
  * A broken watch or an expired history leads to a new list.
  *
- * Each answered watch is a billed call, and each daemon watches. A pause after
- * each response merges the changes of a busy moment into one. While another
- * process relays what the store reports, this one does not query the store at
- * all. It queries again as soon as the relayed status is older than the bounds
- * for changes allow, so a relay that freezes or is cut off costs at most a
- * second.
+ * Each answered watch is a billed call, and each process watches. A pause after
+ * each response with changes lets the next one carry all changes of a burst.
+ * While another process relays what the store reports, this one does not query
+ * the store at all. It queries again as soon as the relayed status is older
+ * than the bounds for changes allow, so a relay that freezes or is cut off
+ * costs at most a second.
  */
 import { Backoff } from "../backoff.ts";
 import type {
--- a/src/common/calls/object_follower_test.ts
+++ b/src/common/calls/object_follower_test.ts
@@ -8,23 +8,27 @@
 import { ObjectFollower } from "./object_follower.ts";
 import type { IObjectChanges } from "./object_follower.ts";
 
-const AWAY = { kind: CallFailureKind.Refused, detail: "away" };
+const UNAVAILABLE = { kind: CallFailureKind.Refused, detail: "unavailable" };
 
 /** A store with one object; answers watches at once, without changes. */
-class OneObject implements IObjectStore {
-  isAway = false;
+class OneObjectStore implements IObjectStore {
+  isUnavailable = false;
   lists = 0;
 
   async list() {
     this.lists += 1;
     const object = { kind: "targets", name: "a", version: 1, value: {} };
-    return this.isAway ? Err(AWAY) : Ok({ version: 7, objects: [object] });
+    return this.isUnavailable
+      ? Err(UNAVAILABLE)
+      : Ok({ version: 7, objects: [object] });
   }
   async watch(_: string, after: number) {
-    return this.isAway ? Err(AWAY) : Ok({ version: after, objects: [] });
+    return this.isUnavailable
+      ? Err(UNAVAILABLE)
+      : Ok({ version: after, objects: [] });
   }
   async read() {
-    return Err(AWAY);
+    return Err(UNAVAILABLE);
   }
   async write() {
     return Err({ kind: "not_applied", detail: "never" } as never);
@@ -34,7 +38,10 @@
   }
 }
 
-async function turns(clock: ManualClock, milliseconds: number): Promise<void> {
+async function advance(
+  clock: ManualClock,
+  milliseconds: number,
+): Promise<void> {
   for (let passed = 0; passed < milliseconds; passed += 50) {
     clock.advance(50);
     for (let turn = 0; turn < 20; turn += 1) {
@@ -48,7 +55,7 @@
   // connections are reset for seconds, but the known routes and targets stay
   // valid.
   it("keeps what it has listed during an outage of the store", async () => {
-    const store = new OneObject();
+    const store = new OneObjectStore();
     const clock = new ManualClock();
     const changes: IObjectChanges[] = [];
     const log = new RecordingLog();
@@ -62,14 +69,14 @@
     );
     expect(follower.isLoaded).to.equal(false);
     follower.start();
-    store.isAway = false;
-    await turns(clock, 100);
-    store.isAway = true;
-    await turns(clock, 2_000);
+    store.isUnavailable = false;
+    await advance(clock, 100);
+    store.isUnavailable = true;
+    await advance(clock, 2_000);
     expect(follower.isLoaded).to.equal(true);
     expect(log.fieldsOf("store_lost")).to.have.length(1);
-    store.isAway = false;
-    await turns(clock, 1_000);
+    store.isUnavailable = false;
+    await advance(clock, 1_000);
     follower.dispose();
     expect(log.fieldsOf("store_regained")).to.have.length(1);
     expect(changes.at(-1)).to.include({
--- a/src/common/calls/overdue_calls.ts
+++ b/src/common/calls/overdue_calls.ts
@@ -14,7 +14,10 @@
  */
 import type { MonotonicTime } from "../types.ts";
 
-/** Span over which the rate is measured, milliseconds: about a patience. */
+/**
+ * Span over which the rate is measured, milliseconds: about as long as a caller
+ * waits for its first event.
+ */
 const WINDOW = 2_000;
 
 /** Time from the first overdue call until the rate is used, milliseconds. */
--- a/src/common/calls/overdue_calls_test.ts
+++ b/src/common/calls/overdue_calls_test.ts
@@ -2,7 +2,9 @@
 import { OverdueCalls } from "./overdue_calls.ts";
 import type { IOverdueCall } from "./overdue_calls.ts";
 
+/** How long a caller waits for its first event, milliseconds. */
 const PATIENCE = 2_000;
+/** Time from a call's start to its first event, milliseconds. */
 const FIRST_EVENT = 150;
 
 function callAt(arrivedAt: number): IOverdueCall {
@@ -25,8 +27,8 @@
     ]);
   });
 
-  // Guards against refusing calls after a burst, whose rest is served beside
-  // new calls.
+  // Guards against needless refusals after a burst: its remaining calls are
+  // started in time beside new ones.
   it("are kept while they are started in time", () => {
     const overdue = new OverdueCalls();
     const waiting = Array.from({ length: 20 }, (_, index) => callAt(index));
--- a/src/common/calls/plain_calls.ts
+++ b/src/common/calls/plain_calls.ts
@@ -315,7 +315,7 @@
   }
 }
 
-/** Outcome of one send. */
+/** The response to one send as far as it arrived. */
 interface IPlainResponse {
   readonly head: IResponseHead | null;
   readonly body: readonly Uint8Array[];
--- a/src/common/calls/plain_calls_test.ts
+++ b/src/common/calls/plain_calls_test.ts
@@ -74,7 +74,7 @@
     });
   }
 
-  take(route = SAFE): RecordingReply {
+  submit(route = SAFE): RecordingReply {
     const reply = new RecordingReply();
     const now = this.clock.now();
     const deadline = now + route.timeout;
@@ -94,7 +94,7 @@
 describe("plain calls", () => {
   it("passes on a complete response", () => {
     const harness = new PlainCallsHarness();
-    const reply = harness.take();
+    const reply = harness.submit();
     harness.answer(0, headOf(200), "page");
     expect(reply.text).to.equal("page");
     expect(reply.head?.status).to.equal(200);
@@ -104,7 +104,7 @@
   // three targets is silent, although the others respond in a tenth of it.
   it("retries a safe call at another target when one does not respond", () => {
     const harness = new PlainCallsHarness();
-    const reply = harness.take();
+    const reply = harness.submit();
     harness.clock.advance(100);
     expect(harness.sends[0]?.isAborted).to.equal(true);
     harness.answer(1, headOf(200), "page");
@@ -112,15 +112,15 @@
     expect(harness.sends[1]?.target).to.not.equal(harness.sends[0]?.target);
   });
 
-  // Guards against an order that is executed twice: no response came, and the
+  // Guards against an unsafe call that runs twice: no response came, and the
   // call is retried, or its caller is told "not run" and retries it.
   it("never retries an unsafe call, and does not report it as not run", () => {
     const harness = new PlainCallsHarness();
-    const reply = harness.take(UNSAFE);
+    const reply = harness.submit(UNSAFE);
     harness.clock.advance(801);
     expect(harness.sends).to.have.length(1);
     expect(reply.refusal?.kind).to.equal(CallRefusalKind.TimedOut);
-    const broken = harness.take(UNSAFE);
+    const broken = harness.submit(UNSAFE);
     harness.sends[1]?.options.receiver.onFailure(SendFailure.Broken, "reset");
     expect(harness.sends).to.have.length(2);
     expect(broken.refusal?.kind).to.equal(CallRefusalKind.TargetFailed);
@@ -128,7 +128,7 @@
 
   it("retries an unsafe call that the target has not run", () => {
     const harness = new PlainCallsHarness();
-    const reply = harness.take(UNSAFE);
+    const reply = harness.submit(UNSAFE);
     harness.answer(0, headOf(503, true));
     harness.answer(1, headOf(200), "done");
     expect(reply.text).to.equal("done");
@@ -139,7 +139,7 @@
   // even if only one attempt is allowed.
   it("retries an unsafe call when no connection could be made", () => {
     const harness = new PlainCallsHarness();
-    const reply = harness.take({ ...UNSAFE, maximumAttempts: 1 });
+    const reply = harness.submit({ ...UNSAFE, maximumAttempts: 1 });
     harness.sends[0]?.options.receiver.onFailure(
       SendFailure.NotSent,
       "no connection",
@@ -148,10 +148,12 @@
     expect(reply.text).to.equal("done");
   });
 
+  // Guards against an unsafe call lost on a pooled connection that has gone
+  // dead: it may have run, so it could not be retried.
   it("sends an unsafe call on a new connection", () => {
     const harness = new PlainCallsHarness();
-    harness.take(UNSAFE);
-    harness.take(SAFE);
+    harness.submit(UNSAFE);
+    harness.submit(SAFE);
     expect(
       harness.sends.map(({ options }) => options.onNewConnection),
     ).to.deep.equal([true, false]);
@@ -159,7 +161,7 @@
 
   it("retries a failed safe call, and passes on the last response", () => {
     const harness = new PlainCallsHarness();
-    const reply = harness.take();
+    const reply = harness.submit();
     harness.answer(0, headOf(500), "first");
     harness.answer(1, headOf(500), "second");
     expect(harness.sends).to.have.length(2);
--- a/src/common/calls/plain_target_selector_test.ts
+++ b/src/common/calls/plain_target_selector_test.ts
@@ -56,6 +56,7 @@
     expect(choose(targets, 100)).to.not.equal(null);
   });
 
+  // Guards against ejecting healthy targets, which also fail single calls.
   it("does not eject a target for single failures", () => {
     const targets = new PlainTargetSelector();
     for (let call = 0; call < 3; call += 1) {
@@ -66,7 +67,7 @@
     expect(choose(targets, 0)).to.equal("b");
   });
 
-  it("never chooses a target that had the call", () => {
+  it("never chooses a target that the call was already sent to", () => {
     const targets = new PlainTargetSelector();
     expect(choose(targets, 0, ["a", "b", "c"])).to.equal(null);
     expect(choose(targets, 0, ["a"])).to.equal("b");
--- a/src/common/calls/retry_allowance.ts
+++ b/src/common/calls/retry_allowance.ts
@@ -14,9 +14,11 @@
 
 /** The platform's bound on retries. */
 export interface IRetryBounds {
+  /** Retries for each first send. */
   readonly ratio: number;
   /** Milliseconds. */
   readonly window: number;
+  /** Retries in a window beyond the ratio. */
   readonly slack: number;
 }
 
--- a/src/common/calls/retry_allowance_test.ts
+++ b/src/common/calls/retry_allowance_test.ts
@@ -51,7 +51,7 @@
     expect(taken.filter(Boolean)).to.have.length(14);
   });
 
-  it("grants it again once the window is over", () => {
+  it("grants the slack again once the window is over", () => {
     const allowance = new RetryAllowance({ ...BOUNDS, slack: 1.2 });
     expect(allowance.tryTake(0, 1)).to.equal(true);
     expect(allowance.tryTake(9_000, 1)).to.equal(false);
--- a/src/common/calls/service_retry_allowances_test.ts
+++ b/src/common/calls/service_retry_allowances_test.ts
@@ -6,8 +6,11 @@
 const SERVICE = "summaries";
 const PROCESSES = 6;
 const BOUNDS = { ratio: 0.2, window: 10_000, slack: 103 };
-/** Shorter than the time for which a larger number of processes counts. */
-const LONGEST_CUT = 10_000;
+/**
+ * Longest partition, milliseconds: shorter than the time for which
+ * {@link ProcessCount} keeps a larger number.
+ */
+const LONGEST_PARTITION = 10_000;
 /** Milliseconds in which a new process learns of the others one by one. */
 const KNOWS_ALL_AFTER = 400;
 
@@ -29,8 +32,8 @@
   readonly #allowances = this.#startedAt.map((_, process) =>
     this.#createAllowances(process),
   );
-  /** Processes that know only of one another, until a time. */
-  #cut = { part: new Set<number>(), until: 0 };
+  /** Processes that are cut off from the others, until a time. */
+  #partition = { part: new Set<number>(), until: 0 };
 
   advance(milliseconds: number): void {
     this.now += milliseconds;
@@ -44,9 +47,9 @@
     this.sent.push({ at: this.now, isRetry: false });
   }
 
-  /** Retries as often as it may, up to a number. */
-  retry(process: number, most: number): void {
-    for (let made = 0; made < most; made += 1) {
+  /** Retries as often as the allowance permits, up to a limit. */
+  retry(process: number, limit: number): void {
+    for (let made = 0; made < limit; made += 1) {
       if (!this.#allowances[process]?.tryTake(SERVICE, this.now)) {
         return;
       }
@@ -60,9 +63,10 @@
     this.#allowances[process] = this.#createAllowances(process);
   }
 
+  /** Cuts processes off from the others, unless some are cut off already. */
   cut(part: readonly number[], time: number): void {
-    if (this.now >= this.#cut.until) {
-      this.#cut = { part: new Set(part), until: this.now + time };
+    if (this.now >= this.#partition.until) {
+      this.#partition = { part: new Set(part), until: this.now + time };
     }
   }
 
@@ -84,7 +88,7 @@
     if (startedAt !== null && age < KNOWS_ALL_AFTER) {
       return age < KNOWS_ALL_AFTER / 2 ? 0 : 1;
     }
-    const { part, until } = this.#cut;
+    const { part, until } = this.#partition;
     const isInPart = part.has(process);
     const isCut = this.now < until;
     const size = isInPart ? part.size : PROCESSES - part.size;
@@ -106,7 +110,7 @@
     weight: 1,
     arbitrary: fc.record({
       cut: fc.uniqueArray(processOf, { minLength: 1, maxLength: 5 }),
-      time: fc.nat({ max: LONGEST_CUT }),
+      time: fc.nat({ max: LONGEST_PARTITION }),
     }),
   },
 );
@@ -120,8 +124,9 @@
     expect(allowances.tryTake(SERVICE, 100)).to.equal(true);
   });
 
-  // Guards against a share of the common allowance that each restarted process
-  // takes again, or that a process without contact to the others takes whole.
+  // Guards against retries beyond the common bound: a restarted process takes
+  // its share of the slack a second time, or a process that is cut off from the
+  // others takes all of it.
   it("stay within the bound in every window", () => {
     fc.assert(
       fc.property(fc.array(STEP, { maxLength: 200, size: "max" }), (steps) => {
--- a/src/common/calls/silence_limits.ts
+++ b/src/common/calls/silence_limits.ts
@@ -20,7 +20,7 @@
 /** Multiple of the expected gap that is not suspicious. */
 const GAP_FACTOR = 2;
 
-/** A first event also waits for a place in the batch: this much longer. */
+/** Factor on a gap's limit for a first event, which also waits for a slot. */
 const FIRST_EVENT_FACTOR = 1.5;
 
 /** Shortest limit of a silence, milliseconds: two cross-zone trips. */
--- a/src/common/calls/stall_detector_test.ts
+++ b/src/common/calls/stall_detector_test.ts
@@ -4,6 +4,7 @@
 
 /** Milliseconds between two events of a full group. */
 const GAP = 50;
+/** Milliseconds between two checks. */
 const CHECK = 20;
 
 function stream(group: string, sentAt: number): IWatchedStream {
--- a/src/common/calls/target_registry_test.ts
+++ b/src/common/calls/target_registry_test.ts
@@ -4,6 +4,7 @@
 import { ListedState } from "./types.ts";
 import type { IListedTarget } from "./types.ts";
 
+/** Milliseconds that a missing entry is kept after an outage. */
 const REAPPEAR_TIME = 2_300;
 
 function decode(id: string, value: unknown): IListedTarget | null {
@@ -66,7 +67,7 @@
     expect([...registry.all.keys()]).to.deep.equal(["b"]);
   });
 
-  it("keeps an entry that has returned by then", () => {
+  it("keeps an entry that returns soon after an outage", () => {
     const registry = registryOf("a");
     registry.applyStoreChanges(
       change({ isFullList: true, isAfterOutage: true }),
--- a/src/common/calls/zone_reachability.ts
+++ b/src/common/calls/zone_reachability.ts
@@ -21,7 +21,7 @@
 const FAILURE_LIFETIME = 1_500;
 
 interface IZoneState {
-  /** Groups that failed since the last event from the zone. */
+  /** When each group last failed, since the last event from the zone. */
   readonly missed: Map<string, MonotonicTime>;
   isUnreachable: boolean;
   lastTrialAt: MonotonicTime;
--- a/src/entry/entry_process.ts
+++ b/src/entry/entry_process.ts
@@ -39,8 +39,8 @@
 const HOLDER_TARGETS_PAUSE = 200;
 
 /**
- * How long the holder's watches wait, milliseconds: other processes rely on
- * its updates, so they must be recent.
+ * How long a watch waits for changes, milliseconds. The holder's are shorter,
+ * since other processes rely on its updates and need them to be recent.
  */
 const HOLDER_WATCH_TIME = 400;
 const WATCH_TIME = 2_500;
@@ -231,7 +231,7 @@
             name === CONFIGURATION_NAME &&
             this.#configuration.update(value)
           ) {
-            this.#configurationChanged();
+            this.#handleConfigurationChanged();
           }
         }
       },
@@ -265,7 +265,7 @@
     };
   }
 
-  #configurationChanged(): void {
+  #handleConfigurationChanged(): void {
     const table = this.#configuration.routes;
     if (table !== null) {
       this.#ingress.setLimits(table.configuration.limits);
--- a/src/entry/fleet_coordinator.ts
+++ b/src/entry/fleet_coordinator.ts
@@ -108,8 +108,8 @@
   ) {
     this.#parts = parts;
     this.#options = options;
-    const run = parts.random.identifier();
-    const process = `${options.address}${NAME_SEPARATOR}${run}`;
+    const runId = parts.random.identifier();
+    const process = `${options.address}${NAME_SEPARATOR}${runId}`;
     this.#lease = new LeaseManager(process, {
       store: parts.store,
       clock: parts.clock,
@@ -193,6 +193,7 @@
     }
   }
 
+  /** Releases the lease; its groups stay known until another holder replies. */
   async releaseLease(): Promise<void> {
     if (this.#isActiveHolder) {
       const { groups, abandonedGroups, othersInFlight, reports } =
--- a/src/entry/settings.ts
+++ b/src/entry/settings.ts
@@ -32,7 +32,7 @@
   bounds: z.strictObject({
     /** Time from a stop signal until the process is killed, seconds. */
     grace_s: positive,
-    /** Retries: ratio to first sends, window, and a number on top. */
+    /** Retries: ratio to first sends, window, and number beyond the ratio. */
     repeat_ratio: z.number().nonnegative(),
     repeat_window_s: positive,
     repeat_slack: z.number().nonnegative(),
