--- a/src/common/services/metered_platform.ts
+++ b/src/common/services/metered_platform.ts
@@ -29,11 +29,11 @@
     kind: string,
     name: string,
   ): Promise<Result<Option<IPlatformObject>, ICallFailure>> {
-    return this.#count("read", kind, this.#platform.read(kind, name));
+    return this.#recordCall("read", kind, this.#platform.read(kind, name));
   }
 
   list(kind: string): Promise<Result<IWatchResult, ICallFailure>> {
-    return this.#count("list", kind, this.#platform.list(kind));
+    return this.#recordCall("list", kind, this.#platform.list(kind));
   }
 
   async watch(
@@ -43,14 +43,14 @@
   ): Promise<Result<IWatchResult, ICallFailure>> {
     const sent = this.#platform.watch(kind, after, options);
     this.#addWatches(1);
-    const found = await this.#count("watch", kind, sent);
+    const found = await this.#recordCall("watch", kind, sent);
     this.#addWatches(-1);
     return found;
   }
 
   write(write: IConditionalWrite): Promise<Result<number, IWriteFailure>> {
     const sent = this.#platform.write(write);
-    return this.#count("write", write.kind, sent);
+    return this.#recordCall("write", write.kind, sent);
   }
 
   remove(
@@ -59,14 +59,14 @@
     expectedVersion: number,
   ): Promise<Result<void, IWriteFailure>> {
     const sent = this.#platform.remove(kind, name, expectedVersion);
-    return this.#count("remove", kind, sent);
+    return this.#recordCall("remove", kind, sent);
   }
 
   instances(): Promise<Result<readonly IInstance[], ICallFailure>> {
-    return this.#count("list", "instances", this.#platform.instances());
+    return this.#recordCall("list", "instances", this.#platform.instances());
   }
 
-  async #count<T, E>(
+  async #recordCall<T, E>(
     call: string,
     kind: string,
     sent: Promise<Result<T, E>>,
