--- a/test/support/call_fixtures.ts
+++ b/test/support/call_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builders and receivers for tests of the request path. */
+/** Builders of calls and recording receivers for tests of the request path. */
 import { CallKind } from "../../src/common/calls/types.ts";
 import type {
   IResponseHead,
@@ -10,7 +10,7 @@
   SendFailure,
 } from "../../src/common/calls/types.ts";
 
-/** A route; a resumable stream unless named otherwise. */
+/** A route; by default a resumable stream. */
 export function routeOf(part: Partial<IRoute> = {}): IRoute {
   return {
     name: "briefs",
@@ -30,7 +30,7 @@
   };
 }
 
-/** A call of a route. */
+/** A call on the default route. */
 export function callOf(part: Partial<ICall> = {}): ICall {
   return {
     id: "attempt-1",
@@ -53,7 +53,7 @@
   };
 }
 
-/** Keeps what a send brought, and tells when it is over. */
+/** Records the response to a send and resolves `finished` at its end. */
 export class RecordingReceiver implements IResponseReceiver {
   answerHead: IResponseHead | null = null;
   text = "";
@@ -87,7 +87,7 @@
   }
 }
 
-/** Keeps what a caller got. */
+/** Records the reply that a caller receives. */
 export class RecordingReply implements ICallReply {
   text = "";
   head: IResponseHead | null = null;
--- a/test/support/caller.ts
+++ b/test/support/caller.ts
@@ -1,25 +1,25 @@
-/** A caller of the deployment under test. */
+/** HTTP client for calls to the deployment under test. */
 import { createParser } from "eventsource-parser";
 import { request } from "undici";
 
 const STATUS_OK = 200;
 
-/** What a caller asks for. */
+/** A call to one operation of a service. */
 export interface ICall {
   readonly address: string;
   readonly credential: string;
-  /** Service and operation, as `summarizer/headline`. */
+  /** Service and operation, such as `summarizer/headline`. */
   readonly operation: string;
   readonly body: unknown;
   readonly key?: string;
   readonly requestId?: string;
-  /** Called when the first text of a stream has come. */
+  /** Called for each text event; tests use it to await the first. */
   readonly onFirstText?: () => void;
-  /** Aborted when the caller goes away. */
+  /** Aborts the request, as when the caller disconnects. */
   readonly signal?: AbortSignal;
 }
 
-/** A buffered answer or a refusal, as the caller sees it. */
+/** A buffered answer or a refusal, as received by the caller. */
 export interface IReply {
   readonly status: number;
   readonly body: {
@@ -35,7 +35,7 @@
   };
 }
 
-/** A stream as the caller sees it. */
+/** A stream, as received by the caller. */
 export interface IStreamReply {
   readonly status: number;
   readonly text: string;
@@ -45,20 +45,20 @@
   readonly refusal: string;
 }
 
-/** A reply in one line, for the message of a failed check. */
+/** Formats a reply on one line, for assertion messages. */
 export function describeReply(reply: IStreamReply): string {
   const { status, text, isWhole, wasReset, refusal } = reply;
   const words = text.split(" ").length;
   return JSON.stringify({ status, words, isWhole, wasReset, refusal });
 }
 
-/** Milliseconds after which a refused caller is told to ask again. */
+/** The retry delay in a refusal, milliseconds. */
 export function retryDelayOf({ refusal }: IStreamReply): number {
   const body = JSON.parse(refusal) as IReply["body"];
   return body.retry_after_ms ?? 0;
 }
 
-/** A long brief that the editors' desk asks for, of so many tokens. */
+/** A call of the editor desk for a stream of the given number of tokens. */
 export function longBrief(
   address: string,
   { id, tokens }: { readonly id: string; readonly tokens: number },
@@ -72,16 +72,16 @@
   };
 }
 
-/** Asks for a buffered answer. */
+/** Sends a call and returns its buffered answer. */
 export async function sendCall(call: ICall): Promise<IReply> {
-  const answer = await send(call);
+  const answer = await postCall(call);
   const body = (await answer.body.json()) as IReply["body"];
   return { status: answer.statusCode, body };
 }
 
-/** Asks for a stream and reads it to its end. */
+/** Sends a call and reads the stream to its end or reset. */
 export async function sendStreamCall(call: ICall): Promise<IStreamReply> {
-  const answer = await send(call);
+  const answer = await postCall(call);
   let text = "";
   let refusal = "";
   let isWhole = false;
@@ -109,7 +109,7 @@
   return { status, text, isWhole, wasReset: false, refusal };
 }
 
-function send(call: ICall) {
+function postCall(call: ICall) {
   return request(`http://${call.address}/v1/services/${call.operation}`, {
     method: "POST",
     headers: {
--- a/test/support/certificates.ts
+++ b/test/support/certificates.ts
@@ -1,31 +1,31 @@
-/** Certificates for tests, made anew each time so that none runs out. */
+/** Certificates for tests, generated on each run so that none expires. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
 import { generate } from "selfsigned";
 
-/** Names differ, or the signed one would be taken for self-signed. */
+/** The names differ; else the signed certificate would count as self-signed. */
 const AUTHORITY_NAME = [{ name: "commonName", value: "test authority" }];
 const SUBJECT_NAME = [{ name: "commonName", value: "test daemon" }];
 const KEY = { keyType: "ec", curve: "P-256", algorithm: "sha256" } as const;
 
-/** A certificate authority with a folder for what it signs. */
+/** A certificate authority that writes what it signs to a temporary folder. */
 export class TestCertificateAuthority {
   readonly #folder = mkdtempSync(join(tmpdir(), "cranberryledge-tls-"));
   #keyPair = { key: "", cert: "" };
 
-  /** Makes an authority with a key of its own. */
+  /** Creates an authority with a new key. */
   static async create(): Promise<TestCertificateAuthority> {
     const authority = new TestCertificateAuthority();
-    const made = await generate(AUTHORITY_NAME, {
+    const generated = await generate(AUTHORITY_NAME, {
       ...KEY,
       extensions: [
         { name: "basicConstraints", cA: true },
         { name: "keyUsage", keyCertSign: true, digitalSignature: true },
       ],
     });
-    authority.#keyPair = { key: made.private, cert: made.cert };
-    writeFileSync(authority.pathOf("authority.pem"), made.cert);
+    authority.#keyPair = { key: generated.private, cert: generated.cert };
+    writeFileSync(authority.pathOf("authority.pem"), generated.cert);
     return authority;
   }
 
@@ -37,9 +37,9 @@
     return this.#keyPair.cert;
   }
 
-  /** Signs a certificate for 127.0.0.1 and writes it with its key. */
+  /** Signs a certificate for 127.0.0.1; returns the paths of it and its key. */
   async sign(name: string): Promise<{ certificate: string; key: string }> {
-    const made = await generate(SUBJECT_NAME, {
+    const generated = await generate(SUBJECT_NAME, {
       ...KEY,
       ca: this.#keyPair,
       extensions: [
@@ -51,8 +51,8 @@
     });
     const certificate = this.pathOf(`${name}.pem`);
     const key = this.pathOf(`${name}.key`);
-    writeFileSync(certificate, made.cert);
-    writeFileSync(key, made.private);
+    writeFileSync(certificate, generated.cert);
+    writeFileSync(key, generated.private);
     return { certificate, key };
   }
 
--- a/test/support/deployment.ts
+++ b/test/support/deployment.ts
@@ -1,4 +1,4 @@
-/** A small deployment of real processes: platform, targets and daemons. */
+/** A small deployment of separate processes: platform, targets and daemons. */
 import { readFileSync, mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -9,14 +9,14 @@
 import { registerInstance } from "../../src/stand_ins/shared/register.ts";
 import { ProcessHandle, waitFor } from "./process_handle.ts";
 
-/** What is started, zone by zone. */
+/** The processes to start in each zone, and their settings. */
 export interface IDeploymentPlan {
-  /** Folder under examples/ with lists and settings. */
+  /** The folder under examples/ with the lists and settings. */
   readonly example: "song_lam" | "hormas";
   readonly zones: readonly string[];
   readonly daemonsPerZone: number;
   readonly enginesPerZone: number;
-  /** The plain service, one instance a zone. */
+  /** The plain service, with one instance per zone. */
   readonly plainService: string;
   readonly engineArguments?: readonly string[];
   readonly serviceArguments?: readonly string[];
@@ -25,17 +25,17 @@
   readonly polling?: object;
   /** The settings' `lists`. */
   readonly lists?: object;
-  /** Further top-level settings of one daemon, such as `tls`. */
+  /** Additional top-level settings of one daemon, such as `tls`. */
   readonly settings?: (daemon: string) => object;
 }
 
-/** How many groups the engines of a domain make. */
+/** The settings that determine how many groups the engines of a domain form. */
 interface IGroupSettings {
   readonly members: number;
   readonly spare_share: number;
 }
 
-/** A daemon's status as its operations address gives it. */
+/** A daemon's status, as served on its operations address. */
 export interface IStatus {
   readonly ready: boolean;
   readonly in_flight: number;
@@ -56,9 +56,9 @@
 }
 
 /**
- * The running processes, by name. Each daemon reaches the platform through a
- * link of its own, `platform<DAEMON`, and is reached by its peers through
- * `peers>DAEMON`; each target is reached through `target>TARGET`.
+ * The running processes, by name. Each daemon connects to the platform through
+ * its own link `platform<DAEMON`; its peers connect to it through
+ * `peers>DAEMON`. Each target is reached through `target>TARGET`.
  */
 export class Deployment {
   readonly #plan: IDeploymentPlan;
@@ -71,7 +71,7 @@
     this.#plan = plan;
   }
 
-  /** Starts everything, and waits until all groups are complete everywhere. */
+  /** Starts all processes; waits until every daemon sees complete groups. */
   static async start(plan: IDeploymentPlan): Promise<Deployment> {
     const deployment = new Deployment(plan);
     try {
@@ -87,7 +87,7 @@
     return this.process("platform").listeningField("address");
   }
 
-  /** Names of processes that start with a prefix. */
+  /** The names of processes that start with a prefix. */
   processNames(prefix: string): readonly string[] {
     return [...this.#processes.keys()].filter((name) =>
       name.startsWith(prefix),
@@ -102,7 +102,7 @@
     return found;
   }
 
-  /** A link by name, to be cut, delayed or silenced. */
+  /** A link by name, for fault injection. */
   link(name: string): FaultProxy {
     const found = this.#links.get(name);
     if (found === undefined) {
@@ -117,14 +117,14 @@
     return (await answer.body.json()) as IStatus;
   }
 
-  /** What a stand-in keeps of what it did. */
+  /** Fetches a stand-in's record of its actions. */
   async fetchRecord<T>(target: string): Promise<T> {
     const address = this.process(target).listeningField("address");
     const answer = await request(`http://${address}/record`);
     return (await answer.body.json()) as T;
   }
 
-  /** Tells a stand-in which fault to meet, by its name. */
+  /** Sets the fault that a stand-in injects. */
   async setFault(target: string, fault: string): Promise<void> {
     const address = this.process(target).listeningField("address");
     const answer = await request(`http://${address}/fault`, {
@@ -134,30 +134,30 @@
     await answer.body.dump();
   }
 
-  /** Kills a process without warning and waits until it is gone. */
+  /** Sends SIGKILL to a process and waits for its exit. */
   async kill(name: string): Promise<void> {
     this.process(name).signal("SIGKILL");
     await this.process(name).waitForExit();
   }
 
-  /** Starts one more daemon, or one again after it was stopped. */
+  /** Starts an additional daemon, or restarts one that has exited. */
   async startDaemon(name: string, zone: string): Promise<ProcessHandle> {
     const text = readFileSync(this.#examplePath("entry.yaml"), "utf8");
     const settings = parse(text) as Record<string, object>;
-    const any = "127.0.0.1:0";
+    const anyPort = "127.0.0.1:0";
     const platform = await this.#linkAddress(`platform<${name}`);
     this.link(`platform<${name}`).setTarget(this.platformAddress);
     const advertised = await this.#linkAddress(`peers>${name}`);
     const path = join(this.#folder, `${name}.yaml`);
-    const written = {
+    const daemonSettings = {
       ...settings,
       daemon: {
         name,
         zone,
-        callers: any,
-        peers: any,
+        callers: anyPort,
+        peers: anyPort,
         peers_advertised: advertised,
-        operations: any,
+        operations: anyPort,
         seeds: this.#seedAddresses(name),
       },
       platform: { address: platform },
@@ -166,13 +166,13 @@
       lists: { ...this.#plan.lists },
       ...this.#plan.settings?.(name),
     };
-    writeFileSync(path, stringify(written));
+    writeFileSync(path, stringify(daemonSettings));
     const handle = await this.#startProcess(name, "daemon/main.js", [path]);
     this.link(`peers>${name}`).setTarget(handle.listeningField("peers"));
     return handle;
   }
 
-  /** Starts an engine and puts it on the platform's list. */
+  /** Starts an engine and registers it on the platform's list. */
   async startEngine(name: string, zone: string): Promise<ProcessHandle> {
     const handle = await this.#startProcess(
       name,
@@ -183,7 +183,7 @@
     return handle;
   }
 
-  /** Starts a plain service and puts it on the platform's list. */
+  /** Starts a plain service and registers it on the platform's list. */
   async startService(name: string, zone: string): Promise<ProcessHandle> {
     const handle = await this.#startProcess(
       name,
@@ -199,7 +199,7 @@
     return handle;
   }
 
-  /** Puts a target on the platform's list, or changes what it says of it. */
+  /** Adds a target to the platform's list, or updates its entry. */
   async register(
     name: string,
     entry: {
@@ -227,16 +227,20 @@
 
   /** Runs the command-line tool; resolves with its exit code and output. */
   async runCommandLine(
-    ...words: readonly string[]
+    ...commandArguments: readonly string[]
   ): Promise<{ code: number; output: string }> {
     const { execFile } = await import("node:child_process");
     const main = new URL("../../dist/src/command_line/main.js", import.meta.url)
       .pathname;
     return new Promise((resolve) => {
-      execFile(process.execPath, [main, ...words], (error, stdout, stderr) => {
-        const code = typeof error?.code === "number" ? error.code : 0;
-        resolve({ code, output: stdout + stderr });
-      });
+      execFile(
+        process.execPath,
+        [main, ...commandArguments],
+        (error, stdout, stderr) => {
+          const code = typeof error?.code === "number" ? error.code : 0;
+          resolve({ code, output: stdout + stderr });
+        },
+      );
     });
   }
 
@@ -269,9 +273,9 @@
   }
 
   /**
-   * Waits until the daemons of a zone see the groups that all its engines make.
-   * Engines may come onto the list one after the other; a test that began with
-   * fewer groups would see the others form under its hands.
+   * Waits until the daemons of a zone see all groups that its engines can form.
+   * Engines may be listed one after another; if a test started with fewer
+   * groups, the rest would form while it runs.
    */
   async #waitForAllGroups(zone: string): Promise<void> {
     for (const daemon of this.processNames(`daemon-${zone}-`)) {
@@ -295,7 +299,7 @@
     return Math.floor((engines - Math.floor(engines * spare_share)) / members);
   }
 
-  /** Waits until every daemon is ready, and all groups that it sees complete. */
+  /** Waits until every daemon is ready and all groups it sees are complete. */
   async waitUntilServing(): Promise<void> {
     for (const daemon of this.processNames("daemon-")) {
       await waitFor(`${daemon} sees complete groups`, async () => {
@@ -322,14 +326,14 @@
     }
   }
 
-  /** Where the other daemons' peer links listen. */
+  /** The addresses of the other daemons' peer links. */
   #seedAddresses(name: string): readonly string[] {
     return [...this.#addresses]
       .filter(([link]) => link.startsWith("peers>") && !link.endsWith(name))
       .map(([, address]) => address);
   }
 
-  /** The address of a link, made when first asked for. */
+  /** The address of a link, which is created on first use. */
   async #linkAddress(name: string): Promise<string> {
     const known = this.#addresses.get(name);
     if (known !== undefined) {
@@ -350,9 +354,9 @@
   async #startProcess(
     name: string,
     program: string,
-    words: readonly string[],
+    commandArguments: readonly string[],
   ): Promise<ProcessHandle> {
-    const handle = await ProcessHandle.start(name, program, words);
+    const handle = await ProcessHandle.start(name, program, commandArguments);
     this.#processes.set(name, handle);
     return handle;
   }
--- a/test/support/engine_fixtures.ts
+++ b/test/support/engine_fixtures.ts
@@ -1,4 +1,4 @@
-/** Builders for tests of the decisions on replica groups. */
+/** Builders of engine states and views for tests of replica groups. */
 import { ListedState, MemberState } from "../../src/common/calls/types.ts";
 import type {
   IEngineState,
@@ -7,7 +7,7 @@
 } from "../../src/common/calls/types.ts";
 import type { IEngineView } from "../../src/common/replicas/engine_registry.ts";
 
-/** Two models as published: of four members and of two. */
+/** Two models with published timings, of four members and of two. */
 export const LARGE: IModel = {
   name: "large",
   size: 4,
@@ -25,7 +25,7 @@
   warmTime: 1_100,
 };
 
-/** An engine's own state; free and with nothing on its host unless named. */
+/** An engine's own state; by default free, with no model staged. */
 export function engineState(part: Partial<IEngineState> = {}): IEngineState {
   return {
     staged: [],
@@ -36,7 +36,7 @@
   };
 }
 
-/** An entry of the platform's list. */
+/** An engine's entry in the platform's list. */
 export function listedEngine(
   id: string,
   state: IEngineState = engineState(),
@@ -53,7 +53,7 @@
   };
 }
 
-/** An engine that answers; fields as named. */
+/** The view of an engine; by default it is listed and answers. */
 export function engineView(
   id: string,
   part: Partial<IEngineView> = {},
@@ -74,7 +74,7 @@
   };
 }
 
-/** A member's state in a group. */
+/** The state of an engine that is a member of a group. */
 export function memberOf(
   group: { readonly group: string; readonly epoch: number },
   rank: number,
@@ -86,7 +86,7 @@
   });
 }
 
-/** Views by id. */
+/** Maps views by engine id. */
 export function viewsOf(
   ...views: readonly IEngineView[]
 ): ReadonlyMap<string, IEngineView> {
--- a/test/support/failure_evidence.ts
+++ b/test/support/failure_evidence.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps what the processes of a failed test have written, and prints its end.
- * Deployments are disposed of before this runs, and their output would be gone
- * with them.
+ * Mocha hook that saves the output of a failed test's processes and prints the
+ * end of it. Deployments are disposed of before the hook runs, so their output
+ * would be lost otherwise.
  */
 import { mkdtempSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -9,10 +9,10 @@
 import type { Context } from "mocha";
 import { ProcessHandle } from "./process_handle.ts";
 
-/** Lines printed of each process: the last of them. */
+/** How many of the last lines of each process are printed. */
 const TAIL_LINES = 40;
 
-/** The end of what each process has written. */
+/** Formats the last lines of output of each process. */
 export function formatOutputTails(
   processes: Iterable<Pick<ProcessHandle, "name" | "output">>,
 ): string {
@@ -25,7 +25,7 @@
     .join("\n");
 }
 
-/** Writes a file a process and returns the folder. */
+/** Writes each process's output to a file; returns the folder. */
 function saveOutput(processes: readonly ProcessHandle[]): string {
   const folder = mkdtempSync(join(tmpdir(), "cranberryledge-failed-"));
   for (const { name, output } of processes) {
@@ -42,7 +42,7 @@
       test !== undefined && test.state !== "passed" && !test.isPending();
     if (hasFailed && processes.length > 0) {
       process.stderr.write(
-        `processes of "${test.fullTitle()}", whole in ` +
+        `processes of "${test.fullTitle()}", full output in ` +
           `${saveOutput(processes)}:\n${formatOutputTails(processes)}\n`,
       );
     }
--- a/test/support/free_address.ts
+++ b/test/support/free_address.ts
@@ -1,20 +1,20 @@
-/** Addresses for processes whose port must be known before they start. */
+/** Finds addresses for processes whose port must be known before they start. */
 import { createServer } from "node:net";
 import type { Server } from "node:net";
 
 /**
- * Ports below those that common systems give to outgoing connections, which
- * could take a port between its choice and the start of its process.
+ * Ports below the ephemeral range of common systems: an outgoing connection
+ * could take an ephemeral port before the process starts to listen on it.
  */
 export const FIRST_PORT = 15_000;
 export const PORT_COUNT = 15_000;
 
-/** Sets processes that choose at the same time apart. */
+/** Offset between processes, so that concurrent ones try different ports. */
 const PORTS_PER_PROCESS = 37;
 
 let lastOffset = process.pid * PORTS_PER_PROCESS;
 
-/** An address of this machine on which nothing listens. */
+/** Returns a loopback address on which nothing listens. */
 export async function freeAddress(): Promise<string> {
   for (let tried = 0; tried < PORT_COUNT; tried += 1) {
     lastOffset += 1;
--- a/test/support/group_checks.ts
+++ b/test/support/group_checks.ts
@@ -1,4 +1,4 @@
-/** What the proofs about replica groups share: quick leases, and the judge. */
+/** Helpers for tests of replica groups: settings, callers and assertions. */
 import { expect } from "chai";
 import { request } from "undici";
 import type { IDomainRecord } from "../../src/common/groups/types.ts";
@@ -10,13 +10,14 @@
 
 const MEMBERS = 4;
 const TOKENS = 12;
+/** Milliseconds. */
 const RETRY_DELAY = 20;
 
-/** The one zone of these proofs, and its fabric domain. */
+/** The zone of these tests and its fabric domain. */
 export const ZONE = "vn-north-a";
 export const DOMAIN = "vn-north-a-fabric";
 
-/** Short leases, so that takeovers come within a second or two. */
+/** Short leases, so that a takeover completes within two seconds. */
 export const SHORT_LEASE_SETTINGS = {
   lease: "1500ms",
   takeover_margin: "600ms",
@@ -31,9 +32,9 @@
   domains: "200ms",
 };
 
-/** A deployment of one zone with a number of engines. */
+/** A deployment of one zone, by default with two daemons. */
 export function groupPlan(
-  change: Partial<IDeploymentPlan> & { readonly enginesPerZone: number },
+  overrides: Partial<IDeploymentPlan> & { readonly enginesPerZone: number },
 ): IDeploymentPlan {
   return {
     example: "song_lam",
@@ -43,11 +44,11 @@
     engineArguments: ["--load-time", "100"],
     groups: SHORT_LEASE_SETTINGS,
     polling: FAST_POLLING_SETTINGS,
-    ...change,
+    ...overrides,
   };
 }
 
-/** The daemon that holds the domain's lease, and those that do not. */
+/** Finds the daemon that holds the domain's lease, and the running others. */
 export async function findHolder(
   deployment: Deployment,
 ): Promise<{ readonly holder: string; readonly others: readonly string[] }> {
@@ -68,7 +69,7 @@
   return { holder: holder ?? "", others };
 }
 
-/** The domain's record as the platform holds it. */
+/** Reads the domain's record from the platform. */
 export async function readDomainRecord(
   deployment: Deployment,
 ): Promise<IDomainRecord> {
@@ -77,7 +78,7 @@
   return ((await answer.body.json()) as { value: IDomainRecord }).value;
 }
 
-/** Waits until a daemon sees a number of complete groups. */
+/** Waits until a daemon sees exactly `count` complete groups. */
 export function waitForGroups(
   deployment: Deployment,
   daemon: string,
@@ -89,7 +90,7 @@
   });
 }
 
-/** Calls one daemon after another until stopped, and judges each answer. */
+/** Sends calls to all given daemons until stopped, and checks each answer. */
 export class ContinuousCaller {
   readonly #deployment: Deployment;
   readonly #finished: Promise<void>;
@@ -103,10 +104,13 @@
     this.#finished = Promise.all(callers).then(() => undefined);
   }
 
-  /** Waits until that many more requests have been completed. */
+  /** Waits until `count` more requests have completed. */
   async waitForCompleted(count: number): Promise<void> {
-    const wanted = this.completed + count;
-    await waitFor(`${count} more answers`, () => this.completed >= wanted);
+    const expectedCount = this.completed + count;
+    await waitFor(
+      `${count} more answers`,
+      () => this.completed >= expectedCount,
+    );
   }
 
   async stop(): Promise<void> {
@@ -136,13 +140,13 @@
   }
 }
 
-/** What one engine did, with its name. */
+/** An engine's name and its record of actions. */
 export interface IEngineRecord {
   readonly engine: string;
   readonly deeds: readonly IEngineLogEntry[];
 }
 
-/** The records of the engines that can still be asked. */
+/** Fetches the records of all running engines. */
 export async function fetchEngineRecords(
   deployment: Deployment,
 ): Promise<readonly IEngineRecord[]> {
@@ -151,19 +155,19 @@
     .filter((name) => !deployment.process(name).hasExited);
   return Promise.all(
     engines.map(async (engine) => {
-      const { deeds } = await deployment.fetchRecord<{
+      const { deeds: entries } = await deployment.fetchRecord<{
         deeds: IEngineLogEntry[];
       }>(engine);
-      return { engine, deeds };
+      return { engine, deeds: entries };
     }),
   );
 }
 
 /**
- * Judges by the engines' own records: every member of the group worked on
+ * Asserts from the engines' records that every member of the group worked on
  * each request that ended, in the generation that ended it.
  *
- * @param restarted - engines whose records were lost with a process of theirs
+ * @param restarted - engines whose earlier records were lost by a restart
  */
 export async function expectAllMembersWorked(
   deployment: Deployment,
@@ -172,31 +176,31 @@
   const records = await fetchEngineRecords(deployment);
   const names = await fetchEngineNames(deployment);
   const worked = new Set<string>();
-  for (const { engine, deeds } of records) {
-    deeds
+  for (const { engine, deeds: entries } of records) {
+    entries
       .filter(({ kind }) => kind === "worked")
-      .forEach((deed) => worked.add(`${engine} ${keyOf(deed)}`));
+      .forEach((entry) => worked.add(`${engine} ${requestKey(entry)}`));
   }
-  const known = new Set(records.map(({ engine }) => engine));
-  restarted.forEach((engine) => known.delete(engine));
-  const ended = records.flatMap(({ engine, deeds }) =>
-    deeds
+  const recorded = new Set(records.map(({ engine }) => engine));
+  restarted.forEach((engine) => recorded.delete(engine));
+  const ended = records.flatMap(({ engine, deeds: entries }) =>
+    entries
       .filter(({ kind }) => kind === "ended")
-      .map((deed) => ({ engine, deed })),
+      .map((entry) => ({ engine, entry })),
   );
   expect(ended, "requests ended").not.to.be.empty;
-  for (const { engine, deed } of ended) {
-    const members = deed.members.map((address) => names.get(address) ?? "");
+  for (const { engine, entry } of ended) {
+    const members = entry.members.map((address) => names.get(address) ?? "");
     expect(new Set(members).size).to.equal(MEMBERS);
     for (const member of members) {
-      if (member !== engine && known.has(member)) {
-        expect(worked.has(`${member} ${keyOf(deed)}`)).to.equal(true);
+      if (member !== engine && recorded.has(member)) {
+        expect(worked.has(`${member} ${requestKey(entry)}`)).to.equal(true);
       }
     }
   }
 }
 
-/** Names of engines by the address at which others reach them. */
+/** Maps the listed address of each engine to its name. */
 async function fetchEngineNames(
   deployment: Deployment,
 ): Promise<ReadonlyMap<string, string>> {
@@ -209,19 +213,19 @@
   return new Map(instances.map(({ id, address }) => [address, id]));
 }
 
-/** Judges that no engine obeyed an order of an older epoch after a newer. */
+/** Asserts that no engine applied an order of an older epoch after a newer. */
 export function expectEpochsNonDecreasing(
   records: readonly IEngineRecord[],
 ): void {
-  for (const { engine, deeds } of records) {
-    const epochs = deeds
+  for (const { engine, deeds: entries } of records) {
+    const epochs = entries
       .filter(({ kind }) => kind === "joined" || kind === "released")
       .map(({ epoch }) => epoch);
     const sorted = [...epochs].sort((left, right) => left - right);
-    expect(epochs, `epochs obeyed by ${engine}`).to.deep.equal(sorted);
+    expect(epochs, `epochs applied by ${engine}`).to.deep.equal(sorted);
   }
 }
 
-function keyOf(deed: IEngineLogEntry): string {
-  return `${deed.requestId} ${deed.group} ${deed.generation}`;
+function requestKey(entry: IEngineLogEntry): string {
+  return `${entry.requestId} ${entry.group} ${entry.generation}`;
 }
--- a/test/support/manual_clock.ts
+++ b/test/support/manual_clock.ts
@@ -1,4 +1,4 @@
-/** A clock that stands still until a test moves it. */
+/** A clock that only a test advances. */
 import type { IDisposable } from "../../src/common/disposable.ts";
 import type { IClock } from "../../src/common/services/services.ts";
 
@@ -8,7 +8,7 @@
   readonly callback: () => void;
 }
 
-/** Runs timers in order as it is moved on. */
+/** Runs timers in time order as it is advanced. */
 export class ManualClock implements IClock {
   readonly #timers = new Set<ITimer>();
   #now = 0;
@@ -29,7 +29,7 @@
     return this.#add({ at: this.#now + period, period, callback });
   }
 
-  /** Moves on by so many milliseconds, running what falls due. */
+  /** Advances by so many milliseconds and runs the timers that become due. */
   advance(milliseconds: number): void {
     const end = this.#now + milliseconds;
     for (;;) {
--- a/test/support/model_calls_harness.ts
+++ b/test/support/model_calls_harness.ts
@@ -1,4 +1,4 @@
-/** The model calls of one process, with targets that do as a test says. */
+/** Runs one process's model calls against targets that a test controls. */
 import {
   CHECK_PERIOD,
   ModelCalls,
@@ -36,7 +36,7 @@
   openTime: 300,
 };
 
-/** The head of a successful answer. */
+/** The head of a successful response. */
 export const SUCCESS_HEAD: IResponseHead = {
   status: 200,
   headers: [],
@@ -45,7 +45,7 @@
   load: null,
 };
 
-/** A group whose head is named after it. */
+/** A group whose head engine is named after it. */
 export function servingGroup(name: string): IServingGroup {
   return {
     group: name,
@@ -60,7 +60,7 @@
   };
 }
 
-/** One send that the calls made. */
+/** A recorded send to a target. */
 export interface IRecordedSend {
   readonly target: string;
   /** The id of the call. */
@@ -69,7 +69,7 @@
   isAborted: boolean;
 }
 
-/** The calls of one process; its targets do what the test tells them. */
+/** Records the sends of one process; the test plays the targets' responses. */
 export class ModelCallsHarness {
   readonly clock = new ManualClock();
   readonly log = new RecordingLog();
--- a/test/support/operator.ts
+++ b/test/support/operator.ts
@@ -1,10 +1,10 @@
-/** An operator's hand on the platform: edits, faults, and what was counted. */
+/** Edits the platform's objects, injects its faults and reads its counts. */
 import { request } from "undici";
 import { HttpPlatform } from "../../src/adapters/platform/http_platform.ts";
 import { PLAN_LIST_KIND } from "../../src/common/plans/types.ts";
 import type { IFaultControl } from "../../src/stand_ins/object_api/platform_faults.ts";
 
-/** Speaks to the platform stand-in directly, past every link. */
+/** Connects to the platform stand-in directly, bypassing all links. */
 export class Operator {
   readonly #address: string;
   readonly platform: HttpPlatform;
@@ -15,7 +15,7 @@
     this.platform = new HttpPlatform(`http://${address}`);
   }
 
-  /** Writes a value whatever was there; resolves with the new version. */
+  /** Overwrites any present value; resolves with the new version. */
   async put(kind: string, name: string, value: unknown): Promise<number> {
     for (;;) {
       const found = (await this.platform.read(kind, name)).unwrap();
@@ -28,12 +28,12 @@
     }
   }
 
-  /** Puts a list's text; resolves with its version. */
+  /** Writes a list's text; resolves with its version. */
   putList(list: string, text: string): Promise<number> {
     return this.put(PLAN_LIST_KIND, list, { text });
   }
 
-  /** Brings about faults of the platform; resolves with its version. */
+  /** Sets the platform's faults; resolves with its current version. */
   async setFaults(faults: IFaultControl): Promise<number> {
     const answer = await request(`http://${this.#address}/control`, {
       method: "PUT",
@@ -43,7 +43,7 @@
     return ((await answer.body.json()) as { version: number }).version;
   }
 
-  /** Calls the platform has taken so far, by kind of call. */
+  /** Calls that the platform has received so far, by kind of call. */
   async fetchCallCounts(): Promise<Readonly<Record<string, number>>> {
     const answer = await request(`http://${this.#address}/counts`);
     return (await answer.body.json()) as Record<string, number>;
--- a/test/support/platform_engine.ts
+++ b/test/support/platform_engine.ts
@@ -1,4 +1,4 @@
-/** An engine member that speaks the users' platform's form. */
+/** An engine member that speaks the users' platform's protocol. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { listenOn } from "../../src/adapters/listen.ts";
@@ -14,7 +14,7 @@
   state: string;
 }
 
-/** Does at once what it is ordered, and writes streams of a given length. */
+/** Applies orders immediately and writes streams of a fixed length. */
 export class PlatformEngine {
   readonly id: string;
   readonly #server: Server;
@@ -24,12 +24,12 @@
   #group: IGroup | null = null;
   #model: string | null = null;
   #staged: string[] = [];
-  /** While true nothing moves and nothing is answered. */
+  /** While true, streams write nothing and no request is answered. */
   isStalled = false;
-  /** Ids of the attempts that began to run here. */
+  /** Ids of the attempts that this engine started to run. */
   readonly attempts: string[] = [];
 
-  /** @param events - how many a whole stream has */
+  /** @param events - number of events in a complete stream */
   constructor(id: string, service: string, events: number) {
     this.id = id;
     this.#service = service;
--- a/test/support/platform_store.ts
+++ b/test/support/platform_store.ts
@@ -1,4 +1,4 @@
-/** A store that speaks the users' platform's form, kept in memory. */
+/** An in-memory store that speaks the users' platform's protocol. */
 import { createServer } from "node:http";
 import type { IncomingMessage, Server, ServerResponse } from "node:http";
 import { listenOn } from "../../src/adapters/listen.ts";
@@ -14,14 +14,14 @@
   readonly removed: boolean;
 }
 
-/** Objects by kind and name, with watches that wait. */
+/** Objects by kind and name, with long-polling watches. */
 export class PlatformStore {
   readonly #server: Server;
   readonly #objects = new Map<string, IStoredObject>();
   readonly #events: IStoredEvent[] = [];
   readonly #watchers = new Set<() => void>();
   #revision = 1;
-  /** Answers 503 to everything while true. */
+  /** While true, every request is answered with 503. */
   isUnavailable = false;
 
   constructor() {
@@ -34,7 +34,7 @@
     return listenOn(this.#server, "127.0.0.1:0");
   }
 
-  /** Writes as the operator and the targets do. */
+  /** Writes an object without a revision check; returns its new revision. */
   put(kind: string, name: string, spec: unknown): number {
     this.#revision += 1;
     const object = { kind, name, revision: this.#revision, spec };
@@ -100,9 +100,9 @@
       metadata: { name: string; revision?: number };
       spec: unknown;
     };
-    const known = this.#objects.get(`${kind}/${metadata.name}`);
-    if (known?.revision !== metadata.revision) {
-      send(response, 409, known ? encode(known) : {});
+    const existing = this.#objects.get(`${kind}/${metadata.name}`);
+    if (existing?.revision !== metadata.revision) {
+      send(response, 409, existing ? encode(existing) : {});
       return;
     }
     this.put(kind, metadata.name, spec);
@@ -116,9 +116,9 @@
     query: URLSearchParams,
   ): Promise<void> {
     const after = Number(query.get("watch"));
-    const newer = () =>
+    const newerEvents = () =>
       this.#events.filter((one) => one.kind === kind && one.revision > after);
-    if (newer().length === 0) {
+    if (newerEvents().length === 0) {
       await new Promise<void>((resolve) => {
         const timer = setTimeout(() => wake(), Number(query.get("waitMs")));
         const wake = () => {
@@ -129,7 +129,7 @@
         this.#watchers.add(wake);
       });
     }
-    const events = newer().map((event) => ({
+    const events = newerEvents().map((event) => ({
       object: encode(event),
       removed: event.removed,
     }));
--- a/test/support/process_handle.ts
+++ b/test/support/process_handle.ts
@@ -1,16 +1,17 @@
-/** One real process under test, and waiting on what can be observed. */
+/** A process under test, and a bounded wait for conditions. */
 import { spawn } from "node:child_process";
 import type { ChildProcess } from "node:child_process";
 import { setTimeout as sleep } from "node:timers/promises";
 
-/** Overall bound on any wait, milliseconds; generous, since CI may be busy. */
+/** Timeout of any wait, milliseconds; long, because CI machines may be busy. */
 const WAIT_TIMEOUT = 60_000;
+/** Milliseconds. */
 const POLL_INTERVAL = 25;
 
-/** What programs write once they listen. */
+/** Matches the log line that a program writes once it listens. */
 const STARTED = /event=(listening|started)\b/;
 
-/** Waits until a condition holds; the description goes into the failure. */
+/** Polls until a condition holds; the description goes into the error. */
 export async function waitFor(
   description: string,
   condition: () => boolean | Promise<boolean>,
@@ -22,12 +23,12 @@
     }
     await sleep(POLL_INTERVAL);
   }
-  throw new Error(`did not come about: ${description}`);
+  throw new Error(`timed out waiting for: ${description}`);
 }
 
-/** A started program, with what it has written so far. */
+/** A started program and its output so far. */
 export class ProcessHandle {
-  /** Processes whose output no test has taken yet; ended ones too. */
+  /** Processes whose output no test has taken yet, including exited ones. */
   static #started = new Set<ProcessHandle>();
   readonly name: string;
   readonly #child: ChildProcess;
@@ -42,7 +43,7 @@
     child.on("exit", () => (this.#hasExited = true));
   }
 
-  /** Starts `dist/src/PROGRAM` and waits until it says where it listens. */
+  /** Starts `dist/src/PROGRAM` and waits until it logs that it listens. */
   static async start(
     name: string,
     program: string,
@@ -62,8 +63,8 @@
   }
 
   /**
-   * Processes that a test has used: those started since the last call, and
-   * those still running.
+   * Returns the processes that a test has used: those started since the last
+   * call, and those still running at that time.
    */
   static takeStarted(): readonly ProcessHandle[] {
     const started = [...ProcessHandle.#started];
@@ -85,14 +86,14 @@
     return this.#hasExited;
   }
 
-  /** A field of the line that says where the program listens. */
+  /** A field of the program's `listening` log line. */
   listeningField(key: string): string {
     const line = this.#output
       .split("\n")
       .find((text) => text.includes("event=listening"));
     const match = new RegExp(`(?:^| )${key}=(\\S+)`).exec(line ?? "");
     if (match?.[1] === undefined) {
-      throw new Error(`${this.name} did not say ${key}: ${line}`);
+      throw new Error(`${this.name} logged no ${key}: ${line}`);
     }
     return match[1];
   }
@@ -101,7 +102,7 @@
     this.#child.kill(name);
   }
 
-  /** Waits until the process has exited by itself. */
+  /** Waits until the process has exited. */
   waitForExit(): Promise<void> {
     return waitFor(`${this.name} exits`, () => this.#hasExited);
   }
--- a/test/support/raw_target.ts
+++ b/test/support/raw_target.ts
@@ -1,16 +1,16 @@
-/** A target that answers with bytes of the test's choosing. */
+/** A target whose raw response bytes are written by the test. */
 import { createServer } from "node:net";
 import type { Server, Socket } from "node:net";
 import { listenOn } from "../../src/adapters/listen.ts";
 
-/** Called with each piece that arrives on a connection. */
+/** Called with each chunk received on a connection. */
 export type RawDataHandler = (text: string, socket: Socket) => void;
 
 /** Listens on a free port until it is disposed of. */
 export class RawTarget {
   readonly #server: Server;
   readonly #sockets = new Set<Socket>();
-  /** All bytes that arrived, as text. */
+  /** All bytes received, as text. */
   received = "";
   connections = 0;
 
@@ -18,7 +18,7 @@
     this.#server = createServer((socket) => {
       this.connections += 1;
       this.#sockets.add(socket);
-      // A caller that gives up resets the connection; that ends the exchange.
+      // A caller that aborts resets the connection, which ends the exchange.
       socket.on("error", () => socket.destroy());
       socket.on("data", (bytes) => {
         const text = bytes.toString("latin1");
--- a/test/support/recording_services.ts
+++ b/test/support/recording_services.ts
@@ -1,11 +1,11 @@
-/** Log and metrics that keep what they are told, for tests of services. */
+/** A log that records its lines and metrics that do nothing, for tests. */
 import type {
   ILog,
   IMetrics,
   LogFields,
 } from "../../src/common/services/services.ts";
 
-/** Keeps log lines. */
+/** Records log lines. */
 export class RecordingLog implements ILog {
   readonly lines: { readonly event: string; readonly fields: LogFields }[] = [];
 
@@ -21,7 +21,7 @@
     this.lines.push({ event, fields });
   }
 
-  /** Fields of the lines of one event. */
+  /** The fields of all lines of one event. */
   fieldsOf(event: string): readonly LogFields[] {
     return this.lines
       .filter((line) => line.event === event)
@@ -29,7 +29,7 @@
   }
 }
 
-/** Counts nothing. */
+/** Discards all metrics. */
 export const NO_METRICS: IMetrics = {
   count: () => undefined,
   observe: () => undefined,
--- a/test/support/seeded_random.ts
+++ b/test/support/seeded_random.ts
@@ -1,9 +1,9 @@
-/** Chance that is the same for a seed. */
+/** Random numbers that are reproducible from a seed. */
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { uniformFloat64 } from "pure-rand/distribution/uniformFloat64";
 import type { IRandom } from "../../src/common/services/services.ts";
 
-/** Draws from a generator of pure-rand. */
+/** Uses a generator of pure-rand. */
 export class SeededRandom implements IRandom {
   readonly #generator;
   #identifiers = 0;
--- a/test/support/simulated_network.ts
+++ b/test/support/simulated_network.ts
@@ -1,6 +1,6 @@
 /**
- * Membership state machines on a network in memory with a clock of its own:
- * messages are delayed, lost and cut as told, the same way for a seed.
+ * Runs membership state machines on a simulated network with its own clock.
+ * Messages are delayed, lost and cut deterministically for a given seed.
  */
 import { SwimMembership } from "../../src/common/membership/swim_membership.ts";
 import {
@@ -17,26 +17,26 @@
 } from "../../src/common/membership/types.ts";
 import type { IHash, IRandom } from "../../src/common/services/services.ts";
 
-/** One node, with what the network does to it. */
+/** A node and its state in the network. */
 export interface ISimulatedNode {
   readonly member: IMember;
   readonly membership: SwimMembership;
   isUp: boolean;
-  /** Nodes of different sides do not reach one another. */
+  /** Nodes in different partitions cannot reach each other. */
   partition: number;
 }
 
-/** Conditions of the network. */
+/** Properties of the network, and its observers. */
 export interface INetworkOptions {
   readonly random: IRandom;
   readonly hash: IHash;
-  /** Share of messages lost, each way on its own. */
+  /** Probability that a message is lost, independent in each direction. */
   readonly lossRate: number;
-  /** Longest time a message takes, milliseconds. */
+  /** Maximum delay of a message, milliseconds. */
   readonly maximumDelay: number;
-  /** Told each message sent, for counting. */
+  /** Called for each message sent. */
   readonly onMessageSent?: (from: IMember, message: IMemberMessage) => void;
-  /** Told each whole view sent. */
+  /** Called for each complete view sent. */
   readonly onViewSent?: (from: IMember, view: readonly IMemberUpdate[]) => void;
 }
 
@@ -45,11 +45,11 @@
   readonly run: () => void;
 }
 
-/** The nodes, the clock and what is under way. */
+/** The nodes, the clock and the pending events. */
 export class SimulatedNetwork {
   readonly #options: INetworkOptions;
   readonly #nodes = new Map<string, ISimulatedNode>();
-  /** A binary heap by time. */
+  /** A binary heap ordered by time. */
   readonly #events: IScheduledEvent[] = [];
   #now = 0;
 
@@ -65,7 +65,7 @@
     return [...this.#nodes.values()];
   }
 
-  /** Adds a node that starts probing at a random moment of a period. */
+  /** Adds a node that starts probing at a random point of the period. */
   addNode(
     name: string,
     zone: string,
@@ -90,7 +90,7 @@
     return node;
   }
 
-  /** Lets time pass; returns early once the condition holds. */
+  /** Advances time; returns early, with true, once the condition holds. */
   run(duration: number, until?: () => boolean): boolean {
     const end = this.#now + duration;
     for (;;) {
--- a/test/support/trickling_target.ts
+++ b/test/support/trickling_target.ts
@@ -1,13 +1,13 @@
-/** A target whose answers begin at once and never end. */
+/** A target whose responses start immediately and never complete. */
 import { RawTarget } from "./raw_target.ts";
 
-/** Time between two bytes of an answer, milliseconds. */
+/** Interval between two bytes of a response, milliseconds. */
 const BYTE_TIME = 100;
 
 const HEAD =
   "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 10000\r\n\r\n";
 
-/** Answers each request a byte at a time. */
+/** Writes each response one byte at a time. */
 export class TricklingTarget extends RawTarget {
   constructor() {
     super((_, socket) => {
--- a/test/support/version_sampler.ts
+++ b/test/support/version_sampler.ts
@@ -1,11 +1,12 @@
-/** Looks at every daemon's versions in force again and again. */
+/** Polls the versions of the lists in force at every daemon. */
 import { setTimeout as sleep } from "node:timers/promises";
 import { request } from "undici";
 import type { IDaemonStatus } from "../../src/common/services/daemon_status.ts";
 
+/** Milliseconds. */
 const SAMPLE_INTERVAL = 50;
 
-/** Notes every step back of a version while it runs. */
+/** Records every decrease of a version while it runs. */
 export class VersionSampler {
   readonly #addresses: readonly string[];
   readonly #highest = new Map<string, number>();
@@ -13,7 +14,7 @@
   #isRunning = true;
   readonly #done: Promise<void>;
 
-  /** @param addresses - daemons' operations addresses */
+  /** @param addresses - the daemons' operations addresses */
   constructor(addresses: readonly string[]) {
     this.#addresses = addresses;
     this.#done = this.#run();
