--- a/test/at_most_once_test.ts
+++ b/test/at_most_once_test.ts
@@ -1,7 +1,8 @@
 /**
- * A call that may not be repeated runs at most once for its Idempotency-Key,
- * whatever fails on its way. Judged by what the plain services recorded, in
- * files that outlive them; "not run" is accepted only while they show no run.
+ * Guards against a non-repeatable call that runs twice for its Idempotency-Key
+ * when a process or connection fails. Checked against the runs that the plain
+ * services record in files, which outlive them; an answer of "not run" is valid
+ * only if they show no run.
  */
 import { expect } from "chai";
 import { request } from "undici";
@@ -43,7 +44,7 @@
       enginesPerZone: 0,
       plainService: "delivery-api",
     });
-    await bothServe();
+    await waitUntilBothServe();
   });
 
   after(() => deployment[Symbol.asyncDispose]());
@@ -61,11 +62,11 @@
       await deployment.startDaemon(DAEMON_A, ZONE_A);
     }
     await deployment.setFault(SERVICE_A, CallFault.None);
-    await bothServe();
+    await waitUntilBothServe();
   });
 
-  /** How often the call with this test's key has run anywhere. */
-  async function runs(): Promise<number> {
+  /** Counts the runs of the call with this test's key at all services. */
+  async function countRuns(): Promise<number> {
     let count = 0;
     for (const service of deployment.processNames("service-")) {
       const record = await deployment.fetchRecord<IServiceRecord>(service);
@@ -88,19 +89,21 @@
       signal: more.signal,
     });
     if (reply.body.outcome === "not_run" && !more.other) {
-      expect(await runs(), "runs where told not run").to.equal(0);
+      expect(await countRuns(), "runs after outcome not_run").to.equal(0);
     }
     return reply.body;
   }
 
-  /** Calls that are cut off: the caller sees a broken connection. */
-  function publishCutOff(signal?: AbortSignal): Promise<Reply | "cut off"> {
+  /** Sends a call whose connection the test breaks. */
+  function publishInterrupted(
+    signal?: AbortSignal,
+  ): Promise<Reply | "cut off"> {
     return publish(ZONE_A, { signal }).catch(() => "cut off" as const);
   }
 
-  async function bothServe(): Promise<void> {
+  async function waitUntilBothServe(): Promise<void> {
     for (const daemon of deployment.processNames("daemon-")) {
-      await waitFor(`${daemon} reads the feed`, async () => {
+      await waitFor(`${daemon} serves the feed`, async () => {
         const reply = await sendCall({
           address: deployment.process(daemon).listeningField("callers"),
           credential: "subscriber-app-secret",
@@ -112,7 +115,7 @@
     }
   }
 
-  async function recordStands(): Promise<boolean> {
+  async function recordExists(): Promise<boolean> {
     const operation = "delivery-api/publish";
     const { kind, name } = runRecordLocation({
       account: ACCOUNT,
@@ -125,22 +128,22 @@
     return answer.statusCode === 200;
   }
 
-  function pausedAtService(): Promise<void> {
-    return waitFor("a call waits at the service", async () => {
+  function waitForPausedCall(): Promise<void> {
+    return waitFor("a call is paused at the service", async () => {
       const { paused } =
         await deployment.fetchRecord<IServiceRecord>(SERVICE_A);
       return paused === 1;
     });
   }
 
-  // The entry instance is replaced just as it asks for the right to run; the
-  // caller's connection breaks, and it repeats the call in another zone.
+  // The daemon dies while its write of the run record is in flight; the caller
+  // repeats the call in another zone.
   it("runs once if the daemon dies before its record is made", async () => {
     const link = deployment.link(LINK_A);
     link.failNext(RECORD_WRITE, RequestFault.Hold);
-    const first = publishCutOff();
+    const first = publishInterrupted();
     await waitFor(
-      "the record's write is under way",
+      "the record's write is in flight",
       () => !link.hasPendingFault,
     );
     await deployment.kill(DAEMON_A);
@@ -149,100 +152,103 @@
     expect(second.outcome).to.equal("completed");
     link.releaseHeld();
     expect((await publish(ZONE_B)).answer).to.deep.equal(second.answer);
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // The platform has taken the record, and the daemon dies before it calls
-  // the service: nobody can tell any more whether it had called.
+  // The platform has stored the record, and the daemon dies before it calls
+  // the service: whether it had called can no longer be determined.
   it("does not run again if the daemon dies after the record", async () => {
     deployment.link(LINK_A).setMode(LinkMode.DropAnswers);
-    const first = publishCutOff();
-    await waitFor("the record stands", recordStands);
+    const first = publishInterrupted();
+    await waitFor("the record exists", recordExists);
     await deployment.kill(DAEMON_A);
     expect(await first).to.equal("cut off");
     expect((await publish(ZONE_B)).outcome).to.equal("unknown");
-    expect(await runs()).to.equal(0);
+    expect(await countRuns()).to.equal(0);
   });
 
-  // The daemon dies while the service works on the call; the work goes on
-  // with nobody to hear of it.
+  // The daemon dies while the service works on the call; the service finishes
+  // it, but nobody receives the answer.
   it("does not run again if the daemon dies while it runs", async () => {
     await deployment.setFault(SERVICE_A, CallFault.PauseBeforeRun);
-    const first = publishCutOff();
-    await pausedAtService();
+    const first = publishInterrupted();
+    await waitForPausedCall();
     await deployment.kill(DAEMON_A);
     expect(await first).to.equal("cut off");
     expect((await publish(ZONE_B)).outcome).to.equal("unknown");
     await deployment.setFault(SERVICE_A, CallFault.None);
-    await waitFor("the service has acted", async () => (await runs()) === 1);
+    await waitFor("the call has run", async () => (await countRuns()) === 1);
     expect((await publish(ZONE_B)).outcome).to.equal("unknown");
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // The service has answered, and the daemon dies before it has recorded how
-  // the call ended.
+  // The service has answered, and the daemon dies before the outcome is
+  // recorded.
   it("does not run again if the daemon dies before the finish", async () => {
     await deployment.setFault(SERVICE_A, CallFault.PauseAfterRun);
-    const first = publishCutOff();
-    await pausedAtService();
+    const first = publishInterrupted();
+    await waitForPausedCall();
     const link = deployment.link(LINK_A);
     link.failNext(RECORD_WRITE, RequestFault.Hold);
     await deployment.setFault(SERVICE_A, CallFault.None);
-    await waitFor("the finish is under way", () => !link.hasPendingFault);
+    await waitFor(
+      "the outcome's write is in flight",
+      () => !link.hasPendingFault,
+    );
     await deployment.kill(DAEMON_A);
     expect(await first).to.equal("cut off");
     expect((await publish(ZONE_B)).outcome).to.equal("unknown");
     link.releaseHeld();
-    await waitFor("the late finish counts", async () => {
+    await waitFor("the late outcome is recorded", async () => {
       return (await publish(ZONE_B)).outcome === "completed";
     });
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // The platform takes the record and its answer is lost on the way. Without
-  // reading back, the daemon would take its own record for another's.
+  // The platform stores the record, but its response is lost. Unless it reads
+  // the record back, the daemon treats its own record as another caller's.
   it("runs once if the answer of the record's write is lost", async () => {
     const link = deployment.link(LINK_A);
     link.failNext(RECORD_WRITE, RequestFault.LoseAnswer);
     const first = await publish(ZONE_A);
     expect(first.outcome).to.equal("completed");
     expect((await publish(ZONE_B)).answer).to.deep.equal(first.answer);
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // The record is taken, and the platform falls silent before the daemon can
-  // read it back. The caller is told "not run" and comes back: its key must
-  // not stay blocked by a record that nobody runs.
+  // The record is stored, but the platform stops answering before the daemon
+  // can read it back. The caller gets "not run" and retries: the orphaned
+  // record must not block its key.
   it("frees the key of a try that it answered as not run", async () => {
     deployment.link(LINK_A).setMode(LinkMode.DropAnswers);
     const first = await publish(ZONE_A);
     expect(first.outcome).to.equal("not_run");
-    expect(await recordStands()).to.equal(true);
+    expect(await recordExists()).to.equal(true);
     deployment.link(LINK_A).setMode(LinkMode.Pass);
     await waitFor("the key is free again", async () => {
       return (await publish(ZONE_B)).outcome === "completed";
     });
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // The write of the record is delayed in the network, and arrives after the
-  // caller was told "not run" and has had its call run elsewhere.
+  // The write of the record is delayed in the network and arrives after the
+  // repeated call has run in another zone.
   it("runs once if a delayed record arrives after a repeat", async () => {
     const link = deployment.link(LINK_A);
     link.failNext(RECORD_WRITE, RequestFault.Hold);
     const first = publish(ZONE_A);
     await waitFor(
-      "the record's write is under way",
+      "the record's write is in flight",
       () => !link.hasPendingFault,
     );
     const second = await publish(ZONE_B);
     expect(second.outcome).to.equal("completed");
     link.releaseHeld();
     expect((await first).answer).to.deep.equal(second.answer);
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // An impatient caller sends the same key through two zones at once.
+  // A caller sends the same key through two zones concurrently.
   it("runs once if the key is sent through two zones at once", async () => {
     const zones = [ZONE_A, ZONE_B, ZONE_A, ZONE_B, ZONE_A, ZONE_B];
     const replies = await Promise.all(zones.map((zone) => publish(zone)));
@@ -253,33 +259,33 @@
     await waitFor("the answer is recorded", async () => {
       return (await publish(ZONE_B)).outcome === "completed";
     });
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // A caller on a poor connection drops off while its order is worked on, and
-  // repeats it in another zone: it must get the answer of the one run.
+  // A caller disconnects while its call runs and repeats it in another zone: it
+  // must get the answer of the first run.
   it("keeps the answer of a caller that was cut off", async () => {
     await deployment.setFault(SERVICE_A, CallFault.PauseBeforeRun);
-    const leaving = new AbortController();
-    const first = publishCutOff(leaving.signal);
-    await pausedAtService();
-    leaving.abort();
+    const callerAbort = new AbortController();
+    const first = publishInterrupted(callerAbort.signal);
+    await waitForPausedCall();
+    callerAbort.abort();
     expect(await first).to.equal("cut off");
     await deployment.setFault(SERVICE_A, CallFault.None);
     await waitFor("the answer is recorded", async () => {
       return (await publish(ZONE_B)).outcome === "completed";
     });
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
   const LOSSES = [
-    // The service dies with the call in hand, before it has done anything.
+    // The service dies after it received the call, before it runs it.
     { fault: CallFault.CrashBeforeRun, when: "dies before acting", count: 0 },
-    // It dies when all is done but the answer.
+    // It dies after the run, before it answers.
     { fault: CallFault.CrashAfterRun, when: "dies after acting", count: 1 },
-    // Its connection breaks after it has acted.
+    // Its connection breaks after the run.
     { fault: CallFault.LoseAnswer, when: "loses its answer", count: 1 },
-    // Its answer names another request: whose it is, nobody can tell.
+    // Its answer names another request, so it belongs to an unknown call.
     { fault: CallFault.ForeignAnswer, when: "crosses answers", count: 1 },
   ];
   for (const { fault, when, count } of LOSSES) {
@@ -295,21 +301,21 @@
       if (deployment.process(SERVICE_A).hasExited) {
         await deployment.startService(SERVICE_A, ZONE_A);
       }
-      expect(await runs()).to.equal(count);
+      expect(await countRuns()).to.equal(count);
     });
   }
 
-  // The target turns the call down because it is leaving, before its reports
-  // say so.
+  // The target refuses the call because it is leaving, before its reports show
+  // that.
   it("says not run if the target refuses, and runs the repeat", async () => {
     await deployment.setFault(SERVICE_A, CallFault.Refuse);
     const first = await publish(ZONE_A);
     expect(first).to.include({ outcome: "not_run", reason: "target_refused" });
     expect((await publish(ZONE_B)).outcome).to.equal("completed");
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // The platform is down: nobody can be given the right to run.
+  // The platform is down, so no run record can be created.
   it("says not run at once while the platform is down", async () => {
     deployment.link(LINK_A).setMode(LinkMode.Cut);
     const first = await publish(ZONE_A);
@@ -319,15 +325,15 @@
     });
     expect(first.retry_after_ms).to.be.greaterThan(0);
     expect((await publish(ZONE_B)).outcome).to.equal("completed");
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // The platform goes down while the service works. The caller has its answer
-  // all the same, and once the platform is back so has whoever repeats.
+  // The platform goes down while the service works. The caller still gets its
+  // answer; a repeat gets it once the platform is back.
   it("records the answer when the platform is back", async () => {
     await deployment.setFault(SERVICE_A, CallFault.PauseAfterRun);
     const first = publish(ZONE_A);
-    await pausedAtService();
+    await waitForPausedCall();
     deployment.link(LINK_A).setMode(LinkMode.Cut);
     await deployment.setFault(SERVICE_A, CallFault.None);
     const { answer, outcome } = await first;
@@ -338,10 +344,10 @@
       return (await publish(ZONE_B)).outcome === "completed";
     });
     expect((await publish(ZONE_B)).answer).to.deep.equal(answer);
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // An answer that the platform cannot hold is kept as a digest.
+  // An answer too large for the platform is recorded as a digest.
   it("says so if the recorded answer was too large to keep", async () => {
     const pad = 1_100_000;
     const first = await publish(ZONE_A, { pad });
@@ -350,10 +356,10 @@
     expect(second.outcome).to.equal("completed");
     expect(second.answer).to.equal(null);
     expect(second.answer_omitted?.bytes).to.be.greaterThan(pad);
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 
-  // A program reuses a key by mistake; another account has the same key.
+  // A caller reuses a key for another body; another account uses the same key.
   it("keeps keys apart by account and refuses another body", async () => {
     await publish(ZONE_A);
     const reused = await publish(ZONE_B, { other: true });
@@ -369,6 +375,6 @@
       key,
     });
     expect(body.outcome).to.equal("completed");
-    expect(await runs()).to.equal(1);
+    expect(await countRuns()).to.equal(1);
   });
 });
--- a/test/bounded_log_test.ts
+++ b/test/bounded_log_test.ts
@@ -2,7 +2,7 @@
 import { once } from "node:events";
 import { expect } from "chai";
 
-/** Writes far more than a pipe holds, and says so on its error output. */
+/** Logs far more than a pipe buffers, then writes to its standard error. */
 const PROGRAM = `
   import { BoundedLog } from "./src/adapters/log/bounded_log.ts";
   import { SystemClock } from "./src/adapters/clock/system_clock.ts";
@@ -14,18 +14,18 @@
   setImmediate(() => process.stderr.write("went on"));
 `;
 
-describe("a log that nobody reads", () => {
-  // The collector of logs hangs, and the pipe to it fills up. A process that
-  // waits for it serves no calls any more, though nothing else is wrong.
-  it("costs lines, and never a wait", async () => {
+describe("a log whose output is not read", () => {
+  // Guards against a process that blocks, and so serves no calls, because the
+  // log collector hangs and the pipe to it is full.
+  it("drops lines and never blocks", async () => {
     const child = spawn(
       process.execPath,
       ["--import=tsx", "--input-type=module", "--eval", PROGRAM],
       { stdio: ["ignore", "pipe", "pipe"] },
     );
-    const [said] = (await once(child.stderr, "data")) as [Buffer];
+    const [errorOutput] = (await once(child.stderr, "data")) as [Buffer];
     child.kill("SIGKILL");
     await once(child, "exit");
-    expect(said.toString()).to.equal("went on");
+    expect(errorOutput.toString()).to.equal("went on");
   });
 });
--- a/test/command_line_apply_test.ts
+++ b/test/command_line_apply_test.ts
@@ -1,4 +1,4 @@
-/** Operators editing the same list, and answers lost on the way. */
+/** Concurrent edits of a list by operators, and lost responses. */
 import { execFile } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -22,8 +22,8 @@
   .pathname;
 const PUT = "PUT objects plan_lists";
 
-/** Slow enough that a write is seen on its way, milliseconds. */
-const SLOW = 500;
+/** Delay that makes a write observable while in flight, milliseconds. */
+const WRITE_DELAY = 500;
 
 function plansText(rate: number): string {
   return `plans:
@@ -61,7 +61,7 @@
     rmSync(folder, { recursive: true });
   });
 
-  function run(
+  function runCommand(
     ...words: readonly string[]
   ): Promise<{ code: number; output: string }> {
     const all = [MAIN, ...words, "--platform", linkAddress];
@@ -75,10 +75,16 @@
 
   function apply(list: string, text: string, from: number) {
     writeFileSync(join(folder, `${list}.yaml`), text);
-    return run("apply", list, `${list}.yaml`, "--edited-from", String(from));
+    return runCommand(
+      "apply",
+      list,
+      `${list}.yaml`,
+      "--edited-from",
+      String(from),
+    );
   }
 
-  async function held(): Promise<{ version: number; text: string }> {
+  async function readPlans(): Promise<{ version: number; text: string }> {
     const found = await operator.platform.read(PLAN_LIST_KIND, "plans");
     return parseListObject(found.unwrap().unwrap()).unwrap();
   }
@@ -88,28 +94,28 @@
     expect(first).to.deep.equal({ code: 0, output: "version=1\n" });
     const again = await apply("plans", plansText(1), 0);
     expect(again).to.deep.equal(first);
-    const { output } = await run("get", "plans");
+    const { output } = await runCommand("get", "plans");
     expect(output).to.equal(`version=1\n${plansText(1)}`);
   });
 
   it("shows the difference when another operator was first", async () => {
-    // Two operators edit the same version. The second must not wipe out the
-    // first one's change, and must see what it was.
-    const { version } = await held();
+    // Guards against a lost update: two operators edit the same version. The
+    // second edit must be rejected and show the first one's change.
+    const { version } = await readPlans();
     const first = await apply("plans", plansText(2), version);
     expect(first.code).to.equal(ExitCode.Success);
     const second = await apply("plans", plansText(3), version);
     expect(second.code).to.equal(ExitCode.Conflict);
     expect(second.output).toMatchSnapshot();
-    expect((await held()).text).to.equal(plansText(2));
+    expect((await readPlans()).text).to.equal(plansText(2));
   });
 
   it("settles a lost answer by reading back", async () => {
-    // The write takes effect and its answer is lost on the way. Without
-    // reading back the operator would not know whether to try again.
-    const { version } = await held();
+    // The write takes effect, but its response is lost. Without reading back,
+    // the operator would not know whether to retry.
+    const { version } = await readPlans();
     const before = (await operator.fetchCallCounts())[PUT] ?? 0;
-    await operator.setFaults({ delay_ms: SLOW });
+    await operator.setFaults({ delay_ms: WRITE_DELAY });
     const applying = apply("plans", plansText(4), version);
     await waitFor("the write is on its way", async () => {
       return ((await operator.fetchCallCounts())[PUT] ?? 0) > before;
@@ -118,17 +124,17 @@
     const { code, output } = await applying;
     await operator.setFaults({ delay_ms: 0 });
     expect(code).to.equal(ExitCode.Success);
-    expect(output).to.equal(`version=${(await held()).version}\n`);
-    expect((await held()).text).to.equal(plansText(4));
+    expect(output).to.equal(`version=${(await readPlans()).version}\n`);
+    expect((await readPlans()).text).to.equal(plansText(4));
   });
 
   it("never undoes an edit made after a lost answer", async () => {
-    // As before, but another operator edits the list before the first one can
-    // read it back, and the first one's tool is then run again. The later edit
-    // must stay.
-    const { version } = await held();
+    // Guards against a retry that overwrites a later edit: the response is
+    // lost, another operator edits the list before it is read back, and the
+    // first command is run again.
+    const { version } = await readPlans();
     const before = (await operator.fetchCallCounts())[PUT] ?? 0;
-    await operator.setFaults({ delay_ms: SLOW });
+    await operator.setFaults({ delay_ms: WRITE_DELAY });
     const applying = apply("plans", plansText(5), version);
     await waitFor("the write is on its way", async () => {
       return ((await operator.fetchCallCounts())[PUT] ?? 0) > before;
@@ -136,14 +142,14 @@
     link.setMode(LinkMode.LoseAnswer);
     await operator.setFaults({ delay_ms: 0 });
     await waitFor("the write took effect", async () => {
-      return (await held()).text === plansText(5);
+      return (await readPlans()).text === plansText(5);
     });
     const other = await applyEdit(
       operator.platform,
       {
         list: PlanListName.Plans,
         text: plansText(6),
-        editedFrom: (await held()).version,
+        editedFrom: (await readPlans()).version,
         name: "another operator's edit",
       },
       async () => {},
@@ -154,7 +160,7 @@
     const again = await apply("plans", plansText(5), version);
     expect(again.code).to.equal(ExitCode.Replaced);
     expect(again.output).toMatchSnapshot();
-    expect((await held()).text).to.equal(plansText(6));
+    expect((await readPlans()).text).to.equal(plansText(6));
   });
 
   it("warns of customers whose plan is missing, and of no platform", async () => {
--- a/test/command_line_check_test.ts
+++ b/test/command_line_check_test.ts
@@ -1,4 +1,4 @@
-/** The published examples pass the checks; files that are neither do not. */
+/** The published examples pass the checks; other files do not. */
 import { readdirSync } from "node:fs";
 import { expect } from "chai";
 import { checkFiles } from "../src/command_line/check_files.ts";
@@ -7,7 +7,7 @@
 const EXAMPLES = new URL("../examples/", import.meta.url).pathname;
 
 describe("cranberryledge check", () => {
-  it("finds nothing wrong with the examples", () => {
+  it("reports nothing for the examples", () => {
     const options = { recursive: true, encoding: "utf8" } as const;
     const files = readdirSync(EXAMPLES, options).filter(
       (name) => name.endsWith(".yaml") && !name.endsWith(".load.yaml"),
@@ -17,7 +17,7 @@
     expect(checkFiles(paths).map(formatFinding)).to.deep.equal([]);
   });
 
-  it("says of other files what it expected", () => {
+  it("reports for other files what it expected", () => {
     const found = checkFiles(["package.json", "src", "missing.yaml"]);
     const texts = found.map(formatFinding);
     expect(texts).to.have.length(3);
--- a/test/command_line_explain_test.ts
+++ b/test/command_line_explain_test.ts
@@ -1,4 +1,4 @@
-/** The explain command as an engineer runs it, on files and on a pipe. */
+/** The explain command, run on files and on a pipe. */
 import { spawnSync } from "node:child_process";
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
@@ -31,19 +31,19 @@
 
   after(() => rmSync(folder, { recursive: true }));
 
-  it("reads files, and standard input without any", () => {
+  it("reads files, or standard input if none is given", () => {
     const byFile = explain(["ab12", join(folder, "b-1.log")]);
     expect(byFile.code, byFile.errors).to.equal(ExitCode.Success);
     expect(byFile.output).to.include("reason=deadline_passed");
     expect(explain(["ab12"], LINE).output).to.equal(byFile.output);
   });
 
-  it("prints one document for programs", () => {
+  it("prints one JSON document with --json", () => {
     const { output } = explain(["ab12", "--json"], LINE);
     expect(JSON.parse(output)).to.have.length(1);
   });
 
-  it("tells a request that is not there, and a file that is not", () => {
+  it("reports a missing request and a missing file", () => {
     expect(explain(["ef56"], LINE).code).to.equal(ExitCode.NotFound);
     const missing = explain(["ab12", join(folder, "missing.log")]);
     expect(missing.code).to.equal(ExitCode.Findings);
--- a/test/command_line_late_test.ts
+++ b/test/command_line_late_test.ts
@@ -1,4 +1,4 @@
-/** The report of late calls as an engineer runs it, on files and on a pipe. */
+/** The report of late calls, run as a command on files and on a pipe. */
 import { spawnSync } from "node:child_process";
 import { expect } from "chai";
 import { ExitCode } from "../src/command_line/exit_code.ts";
@@ -18,14 +18,14 @@
 }
 
 describe("cranberryledge report late", () => {
-  // Callers complain that a model is slow; the engineer has the logs alone.
-  it("tells the cause and a request to look up", () => {
+  // The cause of late calls must be found from the logs alone.
+  it("prints the cause and an example request", () => {
     const { code, output, errors } = reportLate([], LINE);
     expect(code, errors).to.equal(ExitCode.Success);
     expect(output).to.match(/large +waited.*ab12/);
   });
 
-  it("prints one document for programs", () => {
+  it("prints one JSON document with --json", () => {
     const { output } = reportLate(["--json"], LINE);
     expect(JSON.parse(output)).to.have.length(1);
   });
@@ -36,7 +36,7 @@
     expect(errors).to.include("missing.log:1:1: cannot be read");
   });
 
-  it("tells of lines that are of no such log", () => {
+  it("reports lines that cannot be parsed", () => {
     expect(reportLate([], "something else\n").errors).to.include("1 lines");
   });
 });
--- a/test/end_to_end_test.ts
+++ b/test/end_to_end_test.ts
@@ -1,6 +1,6 @@
 /**
- * The whole path through separate processes, for both first users: a buffered
- * answer, a stream, a plain read and a call that may not be repeated.
+ * The request path through separate processes, for both examples: a buffered
+ * answer, a stream, a plain read and a non-repeatable call.
  */
 import { expect } from "chai";
 import { wholeText } from "../src/stand_ins/engine_member/text.ts";
@@ -48,7 +48,7 @@
   },
 ];
 
-describe("the whole path", () => {
+describe("the request path", () => {
   for (const { plan, credential, ...operations } of CASES) {
     it(`serves ${plan.example} through six daemons`, async () => {
       await using deployment = await Deployment.start(plan);
--- a/test/entry_process_test.ts
+++ b/test/entry_process_test.ts
@@ -1,4 +1,4 @@
-/** The entry process, a process of its own, before stand-ins in memory. */
+/** The entry process against in-memory stand-ins of the users' platform. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -56,7 +56,7 @@
   };
 }
 
-/** One entry process before some engines of one domain. */
+/** One entry process, its store, and the engines of one domain. */
 class EntryDeployment {
   readonly store = new PlatformStore();
   readonly engines: readonly PlatformEngine[];
@@ -130,7 +130,7 @@
     return { status: answer.statusCode, text: await answer.body.text() };
   }
 
-  /** Asks until it is answered by a group. */
+  /** Sends calls until a group answers one. */
   async waitForOneGroup(): Promise<void> {
     let attempts = 0;
     await waitFor("a group serves", async () => {
@@ -139,7 +139,7 @@
     });
   }
 
-  /** Asks until two engines have run calls, so that two groups serve. */
+  /** Sends calls until two engines have run some, so that two groups serve. */
   async waitForTwoGroups(): Promise<void> {
     let attempts = 0;
     await waitFor("two groups serve", async () => {
@@ -163,19 +163,19 @@
   return [...text.matchAll(/^id: (\d+)$/gm)].map((match) => Number(match[1]));
 }
 
-const WHOLE = Array.from({ length: EVENTS }, (_, index) => index + 1);
+const ALL_EVENT_IDS = Array.from({ length: EVENTS }, (_, index) => index + 1);
 
-describe("the entry process on the platform's form", () => {
-  it("forms groups and passes a stream on whole", async () => {
+describe("the entry process on the users' platform", () => {
+  it("forms groups and forwards a complete stream", async () => {
     await using platform = new EntryDeployment();
     await platform.start();
     await platform.waitForOneGroup();
     const { status, text } = await platform.sendCall("attempt-1");
     expect(status).to.equal(200);
-    expect(idsOf(text)).to.deep.equal(WHOLE);
+    expect(idsOf(text)).to.deep.equal(ALL_EVENT_IDS);
   });
 
-  it("turns away unknown routes and keys, and follows new versions", async () => {
+  it("rejects unknown routes and keys, and applies new versions", async () => {
     await using platform = new EntryDeployment();
     await platform.start();
     expect((await platform.sendCall("a", { path: "/else/1" })).status).to.equal(
@@ -200,56 +200,56 @@
     });
   });
 
-  // The store goes away while callers are served. What is known of routes and
-  // groups still holds.
-  it("serves on while the store is away", async () => {
+  // Guards against calls refused because the store is down: the known routes
+  // and groups stay valid.
+  it("keeps serving while the store is unavailable", async () => {
     await using platform = new EntryDeployment();
     await platform.start();
     await platform.waitForOneGroup();
     platform.store.isUnavailable = true;
     const { status, text } = await platform.sendCall("attempt-1");
     expect(status).to.equal(200);
-    expect(idsOf(text)).to.deep.equal(WHOLE);
+    expect(idsOf(text)).to.deep.equal(ALL_EVENT_IDS);
     platform.store.isUnavailable = false;
   });
 
-  // The engine that writes an answer stands still in the middle of it. The
-  // caller reads on from another group, without a gap or a repeat.
-  it("goes on with a stream at another group", async () => {
+  // Guards against a broken stream when the engine that writes it stalls:
+  // another group must continue it without a gap or a repeat.
+  it("resumes a stream at another group", async () => {
     await using platform = new EntryDeployment();
     await platform.start();
     await platform.waitForTwoGroups();
-    const asked = platform.sendCall("attempt-1");
-    const isWriting = () =>
+    const pendingAnswer = platform.sendCall("attempt-1");
+    const findWriter = () =>
       platform.engines.find(({ attempts }) => attempts.includes("attempt-1"));
-    await waitFor("an engine writes", async () => isWriting() !== undefined);
-    const first = isWriting();
+    await waitFor("an engine writes", async () => findWriter() !== undefined);
+    const first = findWriter();
     if (first !== undefined) {
       first.isStalled = true;
     }
-    const { status, text } = await asked;
+    const { status, text } = await pendingAnswer;
     expect(status).to.equal(200);
-    expect(idsOf(text)).to.deep.equal(WHOLE);
+    expect(idsOf(text)).to.deep.equal(ALL_EVENT_IDS);
     const ran = platform.engines.filter(({ attempts }) =>
       attempts.includes("attempt-1"),
     );
     expect(ran).to.have.length(2);
   });
 
-  // An instance is replaced. Its process is told to stop while it serves a
-  // caller, who should get the whole answer.
-  it("finishes a stream when it is told to stop", async () => {
+  // Guards against a truncated answer when an instance is replaced: its process
+  // gets SIGTERM while it serves a stream.
+  it("finishes a stream after SIGTERM", async () => {
     await using platform = new EntryDeployment();
     await platform.start();
     await platform.waitForOneGroup();
-    const asked = platform.sendCall("attempt-1");
+    const pendingAnswer = platform.sendCall("attempt-1");
     await waitFor("an engine writes", () =>
       platform.engines.some(({ attempts }) => attempts.includes("attempt-1")),
     );
     platform.entry?.signal("SIGTERM");
-    const { status, text } = await asked;
+    const { status, text } = await pendingAnswer;
     expect(status).to.equal(200);
-    expect(idsOf(text)).to.deep.equal(WHOLE);
+    expect(idsOf(text)).to.deep.equal(ALL_EVENT_IDS);
     await platform.entry?.waitForExit();
   });
 });
--- a/test/failure_evidence_test.ts
+++ b/test/failure_evidence_test.ts
@@ -1,9 +1,9 @@
 import { expect } from "chai";
 import { formatOutputTails } from "./support/failure_evidence.ts";
 
-describe("the evidence of a failed test", () => {
-  // Guards against a failure that leaves nothing to trace it by.
-  it("is the end of what each process has written", () => {
+describe("the output printed for a failed test", () => {
+  // Guards against a failed test without output to diagnose it from.
+  it("is the last lines of each process", () => {
     const output = Array.from({ length: 60 }, (_, line) => `line ${line}\n`);
     const text = formatOutputTails([
       { name: "daemon-a", output: output.join("") },
--- a/test/free_address_test.ts
+++ b/test/free_address_test.ts
@@ -8,14 +8,14 @@
 
 describe("free addresses", () => {
   // Guards against a process that cannot listen because an outgoing connection
-  // was given its port just before.
-  it("have ports that no outgoing connection is given", async () => {
+  // was assigned its port just before.
+  it("have ports outside the ephemeral range", async () => {
     const port = portOf(await freeAddress());
     expect(port).to.be.at.least(FIRST_PORT);
     expect(port).to.be.below(FIRST_PORT + PORT_COUNT);
   });
 
-  it("are not those on which something listens", async () => {
+  it("skip a port that is in use", async () => {
     const port = portOf(await freeAddress()) + 1;
     const server = createServer();
     await new Promise<void>((resolve) =>
--- a/test/groups_members_test.ts
+++ b/test/groups_members_test.ts
@@ -1,6 +1,6 @@
 /**
- * Replica groups under failures of their members, one after another on the
- * same deployment of two groups and one spare; callers go on all the while.
+ * Replica groups when members fail. The tests run one after another on the same
+ * deployment of two groups and one spare, under continuous calls.
  */
 import { expect } from "chai";
 import type { IReplicaGroup } from "../src/common/groups/types.ts";
@@ -18,10 +18,10 @@
 } from "./support/group_checks.ts";
 import { waitFor } from "./support/process_handle.ts";
 
-/** Renewals after which a new holder has long looked at its domain. */
+/** Lease renewals after which a new holder has inspected its domain. */
 const RENEWALS_SEEN = 4;
 
-describe("replica groups in real processes", () => {
+describe("replica groups in separate processes", () => {
   let deployment: Deployment;
   let caller: ContinuousCaller;
   const restarts: string[] = [];
@@ -40,19 +40,19 @@
   });
 
   afterEach(async () => {
-    await allComplete();
+    await waitForAllGroups();
     await caller.waitForCompleted(10);
     await expectAllMembersWorked(deployment, restarts);
   });
 
-  async function allComplete(): Promise<void> {
+  async function waitForAllGroups(): Promise<void> {
     for (const daemon of deployment.processNames("daemon-")) {
       await waitForGroups(deployment, daemon, 2);
     }
   }
 
-  /** Waits until every daemon sees that groups are not complete. */
-  async function noticed(complete: number): Promise<void> {
+  /** Waits until every daemon sees only that many complete groups. */
+  async function waitForCompleteGroups(complete: number): Promise<void> {
     for (const daemon of deployment.processNames("daemon-")) {
       await waitForGroups(deployment, daemon, complete);
     }
@@ -63,61 +63,62 @@
     return groups[0] as IReplicaGroup;
   }
 
-  // An engine dies. Users of its group are turned away until a spare has
-  // taken its place; the other group serves on.
-  it("puts a spare in the place of a member that died", async () => {
+  // Guards against a group that stays broken, or takes the other group with
+  // it, after a member dies: a spare must replace the member.
+  it("replace a dead member with a spare", async () => {
     const group = await firstGroup();
-    const lost = group.members[2] ?? "";
-    deployment.process(lost).signal("SIGKILL");
-    await waitFor("the group has its next generation", async () => {
+    const deadMember = group.members[2] ?? "";
+    deployment.process(deadMember).signal("SIGKILL");
+    await waitFor("the group is in its next generation", async () => {
       return (await firstGroup()).generation === group.generation + 1;
     });
     const { members } = await firstGroup();
-    expect(members).not.to.include(lost);
+    expect(members).not.to.include(deadMember);
     expect(members[0]).to.equal(group.members[0]);
   });
 
-  // An engine crashes and is back at the same address within moments. What it
-  // held of running requests is gone, so it must not pass for the one before:
-  // users would get answers from a group that has lost a part of its state.
-  it("takes a restarted member for another one", async () => {
+  // Guards against a restarted member treated as the previous process: it has
+  // lost its state of running requests, but comes back at the same address
+  // within moments. Its group would answer without that state.
+  it("treat a restarted member as a new one", async () => {
     const group = await firstGroup();
     const restarted = group.members[1] ?? "";
     deployment.process(restarted).signal("SIGKILL");
     await deployment.process(restarted).waitForExit();
     await deployment.startEngine(restarted, ZONE);
     restarts.push(restarted);
-    await waitFor("the group has its next generation", async () => {
+    await waitFor("the group is in a later generation", async () => {
       return (await firstGroup()).generation > group.generation;
     });
-    await allComplete();
+    await waitForAllGroups();
     const records = await fetchEngineRecords(deployment);
-    const deeds = records.find(({ engine }) => engine === restarted)?.deeds;
-    const generations = (deeds ?? [])
-      .filter((deed) => deed.group === group.id)
+    const entries = records.find(({ engine }) => engine === restarted)?.deeds;
+    const generations = (entries ?? [])
+      .filter((entry) => entry.group === group.id)
       .map(({ generation }) => generation);
     expect(Math.min(...generations)).to.be.greaterThan(group.generation);
   });
 
-  // An engine stops answering for a while, and nothing is spare. Its group
-  // serves nobody meanwhile; when it returns, the group goes on at once, and
-  // no weights are loaded again.
-  it("keeps a group whose member pauses", async () => {
+  // Guards against a group dissolved for a pause of one member with no spare
+  // left. It serves nobody meanwhile, and must resume at once when the member
+  // does, without loading weights again.
+  it("survive the pause of a member", async () => {
     const group = await firstGroup();
     const paused = deployment.process(group.members[3] ?? "");
     paused.signal("SIGSTOP");
-    await noticed(1);
+    await waitForCompleteGroups(1);
     await caller.waitForCompleted(10);
     paused.signal("SIGCONT");
-    await allComplete();
+    await waitForAllGroups();
     expect(await firstGroup()).to.deep.equal(group);
   });
 
-  // The lease's holder hangs, and then the whole domain goes dark. Users are
-  // turned away until it is back; then both groups serve without a load.
-  it("keeps groups through a dark domain while the holder is frozen", async () => {
+  // Guards against groups formed again after all engines of the domain were
+  // unreachable and the lease moved: the holder is paused, then every engine.
+  // Once the engines are back, both groups must serve without loading.
+  it("survive a pause of all engines and of the lease holder", async () => {
     const before = await readDomainRecord(deployment);
-    const joinsBefore = await countOrders();
+    const joinsBefore = await countAppliedOrders();
     const { holder, others } = await findHolder(deployment);
     deployment.process(holder).signal("SIGSTOP");
     const engines = deployment
@@ -127,7 +128,7 @@
     engines.forEach((engine) => engine.signal("SIGSTOP"));
     await waitForGroups(deployment, others[0] ?? "", 0);
     const attempts = new Set<string>();
-    await waitFor("another daemon has held the lease for a while", async () => {
+    await waitFor("another daemon has renewed the lease", async () => {
       const record = await readDomainRecord(deployment);
       attempts.add(record.epoch > before.epoch ? record.attempt : "");
       return attempts.size > RENEWALS_SEEN;
@@ -135,34 +136,34 @@
     engines.forEach((engine) => engine.signal("SIGCONT"));
     await waitForGroups(deployment, others[0] ?? "", 2);
     deployment.process(holder).signal("SIGCONT");
-    await allComplete();
+    await waitForAllGroups();
     const after = await readDomainRecord(deployment);
     expect(after.groups).to.deep.equal(before.groups);
-    expect(await countOrders()).to.equal(joinsBefore);
+    expect(await countAppliedOrders()).to.equal(joinsBefore);
   });
 
-  // The platform is down when an engine dies. The other group serves on; the
-  // one without its member serves nobody until the platform is back and a
-  // new engine has come.
-  it("serves on what is whole while the platform is down", async () => {
+  // Guards against a platform outage that stops complete groups: an engine dies
+  // during it. The other group must keep serving; the broken one waits for the
+  // platform and a new engine.
+  it("keep serving while complete when the platform is down", async () => {
     const group = await firstGroup();
     const links = deployment
       .processNames("daemon-")
       .map((daemon) => deployment.link(`platform<${daemon}`));
     links.forEach((link) => link.setMode(LinkMode.Cut));
     deployment.process(group.members[0] ?? "").signal("SIGKILL");
-    await noticed(1);
+    await waitForCompleteGroups(1);
     await caller.waitForCompleted(20);
     await deployment.startEngine("engine-late", ZONE);
     links.forEach((link) => link.setMode(LinkMode.Pass));
-    await allComplete();
+    await waitForAllGroups();
     expect((await firstGroup()).members).to.include("engine-late");
   });
 
-  async function countOrders(): Promise<number> {
+  async function countAppliedOrders(): Promise<number> {
     const records = await fetchEngineRecords(deployment);
     return records
-      .flatMap(({ deeds }) => deeds)
+      .flatMap(({ deeds: entries }) => entries)
       .filter(({ kind }) => kind === "joined" || kind === "released").length;
   }
 });
--- a/test/leaving_test.ts
+++ b/test/leaving_test.ts
@@ -1,6 +1,6 @@
 /**
- * A target that is leaving gets no new work after a few seconds, and its whole
- * group with it; a daemon that is told to stop cuts nobody off.
+ * Guards against work sent to a leaving target, or to its group, after the
+ * bound on noticing it, and against calls broken by a daemon's shutdown.
  */
 import { connect } from "node:net";
 import { setTimeout as sleep } from "node:timers/promises";
@@ -25,12 +25,12 @@
 const DAEMON = `daemon-${ZONE}-0`;
 const TOKENS = 100;
 const STREAMS = 100;
-/** More than that, since a plan's rate lets them in over some seconds. */
+/** More than STREAMS, since the plan's rate admits them over some seconds. */
 const OFFERED = 160;
 const LONG_TOKENS = 300;
 const FEW_TOKENS = 10;
 
-/** The stated bound on noticing a leaving target, milliseconds. */
+/** The specified bound on noticing a leaving target, milliseconds. */
 const NOTICED_WITHIN = 3_000;
 
 let serial = 0;
@@ -52,12 +52,12 @@
 
   afterEach(() => deployment[Symbol.asyncDispose]());
 
-  function caller(daemon: string, id: string, tokens = TOKENS) {
+  function briefCall(daemon: string, id: string, tokens = TOKENS) {
     const address = deployment.process(daemon).listeningField("callers");
     return longBrief(address, { id, tokens });
   }
 
-  function freshId(): string {
+  function nextId(): string {
     serial += 1;
     return `leaving-${serial}`;
   }
@@ -66,62 +66,67 @@
     return reply.isWhole && reply.text === wholeText(`story ${id}`, tokens);
   }
 
-  async function deeds(engine: string): Promise<readonly IEngineLogEntry[]> {
+  async function fetchLogEntries(
+    engine: string,
+  ): Promise<readonly IEngineLogEntry[]> {
     const record = await deployment.fetchRecord<{
       deeds: readonly IEngineLogEntry[];
     }>(engine);
     return record.deeds;
   }
 
-  async function beganAt(engine: string, after: number): Promise<number> {
-    const all = await deeds(engine);
+  async function countBegunAfter(
+    engine: string,
+    after: number,
+  ): Promise<number> {
+    const all = await fetchLogEntries(engine);
     return all.filter(({ kind, at }) => kind === "began" && at > after).length;
   }
 
-  /** Asks for a long stream, as often as told, until it is let in. */
-  async function insist(
+  /** Sends a call for a long stream, and retries while it is refused. */
+  async function callUntilAdmitted(
     id: string,
-    watch: { onFirstText: () => void; mayInsist: () => boolean },
+    watch: { onFirstText: () => void; mayRetry: () => boolean },
   ): Promise<IStreamReply> {
-    const { onFirstText, mayInsist } = watch;
-    const call = { ...caller(DAEMON, id, LONG_TOKENS), onFirstText };
+    const { onFirstText, mayRetry } = watch;
+    const call = { ...briefCall(DAEMON, id, LONG_TOKENS), onFirstText };
     for (;;) {
       const reply = await sendStreamCall(call);
-      if (reply.status === 200 || !mayInsist()) {
+      if (reply.status === 200 || !mayRetry()) {
         return reply;
       }
       await sleep(retryDelayOf(reply));
     }
   }
 
-  /** Starts a stream and waits until its text comes. */
-  async function begin(id: string): Promise<Promise<IStreamReply>[]> {
+  /** Starts a stream and waits for its first text. */
+  async function startStream(id: string): Promise<Promise<IStreamReply>[]> {
     let hasText = false;
     const onFirstText = () => {
       hasText = true;
     };
-    const reply = sendStreamCall({ ...caller(DAEMON, id), onFirstText });
+    const reply = sendStreamCall({ ...briefCall(DAEMON, id), onFirstText });
     await waitFor(`${id} has text`, () => hasText);
     return [reply];
   }
 
-  const NEWS = [
-    // The platform is about to take the instance away, and lists it so.
+  const NOTICES = [
+    // The platform is about to remove the instance and lists it as leaving.
     "by the platform's list",
-    // The engine itself has been told, and reports it.
+    // The engine itself is notified and reports that it is leaving.
     "by its own report",
   ];
-  for (const [index, how] of NEWS.entries()) {
+  for (const [index, how] of NOTICES.entries()) {
     it(`of a member ${how} takes its group out of use`, async () => {
       const { groups } = await deployment.status(DAEMON);
       const { members } = groups[0]!;
       const [leader, , other] = members as [string, string, string, string];
       const running: string[] = [];
       const replies: Promise<IStreamReply>[] = [];
-      while ((await beganAt(leader, 0)) === 0) {
-        const id = freshId();
+      while ((await countBegunAfter(leader, 0)) === 0) {
+        const id = nextId();
         running.push(id);
-        replies.push(...(await begin(id)));
+        replies.push(...(await startStream(id)));
       }
       if (index === 0) {
         const entry = { zone: ZONE, kind: "engine", service: "" } as const;
@@ -133,8 +138,8 @@
         });
         await answer.body.dump();
       }
-      const toldAt = Date.now();
-      await waitFor("both daemons take the group out of use", async () => {
+      const markedAt = Date.now();
+      await waitFor("both daemons stop using the group", async () => {
         const seen = await Promise.all(
           deployment
             .processNames("daemon-")
@@ -147,33 +152,36 @@
       });
       for (let count = 0; count < 8; count++) {
         for (const daemon of deployment.processNames("daemon-")) {
-          const id = freshId();
-          const reply = await sendStreamCall(caller(daemon, id, FEW_TOKENS));
+          const id = nextId();
+          const reply = await sendStreamCall(briefCall(daemon, id, FEW_TOKENS));
           expect(
             isWhole(reply, id, FEW_TOKENS),
             `${id} by ${daemon}: ${describeReply(reply)}`,
           ).to.equal(true);
         }
       }
-      expect(await beganAt(leader, toldAt + NOTICED_WITHIN)).to.equal(0);
-      for (const [place, reply] of (await Promise.all(replies)).entries()) {
-        expect(isWhole(reply, running[place]!), describeReply(reply)).to.equal(
-          true,
-        );
+      expect(await countBegunAfter(leader, markedAt + NOTICED_WITHIN)).to.equal(
+        0,
+      );
+      for (const [position, reply] of (await Promise.all(replies)).entries()) {
+        expect(
+          isWhole(reply, running[position]!),
+          describeReply(reply),
+        ).to.equal(true);
       }
     });
   }
 
-  // The platform replaces the entry instance while a hundred callers read or
-  // wait. Those who wait may be told to ask elsewhere; nobody is cut off.
-  it("of a daemon cuts none of a hundred streams", async () => {
-    const ids = Array.from({ length: OFFERED }, freshId);
+  // Guards against streams broken by a shutdown: a daemon is stopped while a
+  // hundred callers read or wait. Waiting ones may be refused; none is reset.
+  it("of a daemon breaks none of a hundred streams", async () => {
+    const ids = Array.from({ length: OFFERED }, nextId);
     const open = new Set<string>();
     let isStopping = false;
     const replies = ids.map(async (id) => {
-      const reply = await insist(id, {
+      const reply = await callUntilAdmitted(id, {
         onFirstText: () => open.add(id),
-        mayInsist: () => !isStopping,
+        mayRetry: () => !isStopping,
       });
       open.delete(id);
       return reply;
@@ -184,9 +192,9 @@
       return status.in_flight >= STREAMS && open.size > 0;
     });
     isStopping = true;
-    const begun = new Set(open);
+    const startedIds = new Set(open);
     stopping.signal("SIGTERM");
-    await waitFor("it is not ready", async () => {
+    await waitFor("the daemon is not ready", async () => {
       const ready = await request(
         `http://${stopping.listeningField("operations")}/ready`,
       );
@@ -206,7 +214,7 @@
     for (const [index, reply] of (await Promise.all(replies)).entries()) {
       const id = ids[index]!;
       const text = wholeText(`story ${id}`, LONG_TOKENS);
-      if (begun.has(id) || reply.status === 200) {
+      if (startedIds.has(id) || reply.status === 200) {
         expect(reply, `${id}: ${describeReply(reply)}`).to.include({
           isWhole: true,
           text,
@@ -220,52 +228,60 @@
       const { domains } = await deployment.status(`daemon-${ZONE}-1`);
       return domains.every(({ holding }) => holding);
     });
-    const id = freshId();
-    const next = await sendStreamCall(caller(`daemon-${ZONE}-1`, id));
+    const id = nextId();
+    const next = await sendStreamCall(briefCall(`daemon-${ZONE}-1`, id));
     expect(isWhole(next, id)).to.equal(true);
   });
 
-  // A caller keeps its connection and sends the next request just as the
-  // instance is told to stop. A server that closes what looks idle resets that
-  // request: the caller cannot know whether its publish has run.
-  it("of a daemon answers what crosses it on kept connections", async () => {
+  // Guards against a reset of a request that arrives on a kept-alive connection
+  // just as the daemon is stopped, since a server closes connections that look
+  // idle: the caller cannot know whether its publish has run.
+  it("of a daemon answers requests sent meanwhile on kept connections", async () => {
     const stopping = deployment.process(DAEMON);
     const [host = "", port = ""] = stopping
       .listeningField("callers")
       .split(":");
-    const kept = connect(Number(port), host);
-    const said = keepWhatComes(kept);
-    kept.write(plainRequest());
-    await waitFor("the first answer", () => said().includes("HTTP/1.1 4"));
-    const [running] = await begin(freshId());
-    const before = said().length;
+    const connection = connect(Number(port), host);
+    const receivedText = collectText(connection);
+    connection.write(plainRequest());
+    await waitFor("the first answer", () =>
+      receivedText().includes("HTTP/1.1 4"),
+    );
+    const [running] = await startStream(nextId());
+    const before = receivedText().length;
     stopping.signal("SIGTERM");
-    await waitFor("it stops", () => stopping.output.includes("event=stopping"));
-    kept.write(plainRequest());
-    await waitFor("an answer or the end", () => said().length > before);
-    expect(said().slice(before)).to.include("shutting_down");
+    await waitFor("the daemon stops", () =>
+      stopping.output.includes("event=stopping"),
+    );
+    connection.write(plainRequest());
+    await waitFor(
+      "an answer or the close",
+      () => receivedText().length > before,
+    );
+    expect(receivedText().slice(before)).to.include("shutting_down");
     expect((await running)?.isWhole).to.equal(true);
-    kept.destroy();
+    connection.destroy();
   });
 
-  // The engine refuses new work although nobody has heard that it is leaving.
-  it("by refusal sends the work elsewhere at once", async () => {
+  // Guards against calls that fail because an engine refuses new work before
+  // the daemon is notified that it is leaving.
+  it("shown only by a refusal sends the work elsewhere at once", async () => {
     const { groups } = await deployment.status(DAEMON);
     const leader = groups[0]!.members[0]!;
     await deployment.setFault(leader, StreamFault.Refuse);
     for (let count = 0; count < 6; count++) {
-      const id = freshId();
+      const id = nextId();
       const reply = await sendCall({
-        ...caller(DAEMON, id),
+        ...briefCall(DAEMON, id),
         operation: "summarizer/headline",
       });
       expect(reply.body.outcome).to.equal("completed");
     }
-    expect(await beganAt(leader, 0)).to.equal(0);
+    expect(await countBegunAfter(leader, 0)).to.equal(0);
   });
 });
 
-/** A small request without a credential, on a connection that is kept. */
+/** A small request without a credential, for a kept-alive connection. */
 function plainRequest(): string {
   return [
     "POST /v1/services/summarizer/headline HTTP/1.1",
@@ -277,8 +293,8 @@
   ].join("\r\n");
 }
 
-/** Returns what a connection has brought so far; its end counts as text. */
-function keepWhatComes(socket: Socket): () => string {
+/** Collects all text received on a connection, with a marker for its end. */
+function collectText(socket: Socket): () => string {
   let text = "";
   socket.on("data", (bytes) => (text += String(bytes)));
   socket.on("error", ({ message }) => (text += message));
--- a/test/load_test.ts
+++ b/test/load_test.ts
@@ -1,4 +1,4 @@
-/** Load through the real processes, judged by what callers and engines say. */
+/** Load through separate processes, checked by replies and engine records. */
 import { mkdtempSync, rmSync, writeFileSync } from "node:fs";
 import { tmpdir } from "node:os";
 import { join } from "node:path";
@@ -13,10 +13,10 @@
 const ZONE = "mx-bajio-a";
 const DAEMON = `daemon-${ZONE}-0`;
 const FLOOD_CALLERS = 150;
-const STEADY_SIZE = 4;
+const STEADY_CALLS = 4;
 const TOKENS = 40;
 
-/** Two plans alike, so that only fairness keeps the accounts apart. */
+/** Two plans with equal limits, so only fairness separates the accounts. */
 const PLANS = ["bench", "clinics"]
   .map((plan) =>
     [
@@ -31,7 +31,7 @@
   )
   .join("\n");
 
-/** Puts the plans in force, and waits until the daemon has them. */
+/** Applies the plans and waits until they are in force at the daemon. */
 async function applyPlans(deployment: Deployment): Promise<void> {
   const folder = mkdtempSync(join(tmpdir(), "cranberryledge-plans-"));
   const file = join(folder, "plans.yaml");
@@ -53,10 +53,10 @@
 }
 
 describe("load in real processes", () => {
-  // A clinic's program asks with a hundred and fifty callers at once, and
-  // again as soon as it is told to: far more than the one replica group
-  // answers in time. A fitter at the bench asks now and then, within the same
-  // plan, and would notice if the flood went first.
+  // Guards against one account's flood that starves another account with the
+  // same limits: 150 concurrent callers retry as soon as they may, far more
+  // than the one replica group can serve in time, while a steady caller sends a
+  // few calls.
   it("serves one account while another floods", async () => {
     await using deployment = await Deployment.start({
       example: "hormas",
@@ -85,11 +85,11 @@
         await sleep(reply.body.retry_after_ms ?? 0);
       }
     });
-    await waitFor("more has arrived than can run", async () => {
+    await waitFor("more calls are in flight than can run", async () => {
       const status = (await deployment.status(DAEMON)) as unknown;
       return (status as { in_flight: number }).in_flight > FLOOD_CALLERS / 2;
     });
-    for (let index = 0; index < STEADY_SIZE; index++) {
+    for (let index = 0; index < STEADY_CALLS; index++) {
       const reply = await send("fitter-bench-secret", `steady-${index}`);
       expect(reply.body.outcome, JSON.stringify(reply)).to.equal("completed");
     }
@@ -98,18 +98,20 @@
 
     const refused = replies.filter(({ body }) => body.outcome === "not_run");
     expect(refused).to.have.length.above(0).and.below(replies.length);
-    const began = new Set<string>();
+    const begunRequests = new Set<string>();
     for (const engine of deployment.processNames("engine-")) {
-      const { deeds } = await deployment.fetchRecord<{
+      const { deeds: entries } = await deployment.fetchRecord<{
         deeds: IEngineLogEntry[];
       }>(engine);
-      deeds
+      entries
         .filter(({ kind }) => kind === "began")
-        .forEach(({ requestId }) => began.add(requestId));
+        .forEach(({ requestId }) => begunRequests.add(requestId));
     }
     for (const { body } of refused) {
       expect(body.retry_after_ms, body.reason).to.be.above(0);
-      expect(began.has(body.request_id), body.request_id).to.equal(false);
+      expect(begunRequests.has(body.request_id), body.request_id).to.equal(
+        false,
+      );
     }
   });
 });
--- a/test/metrics_help_test.ts
+++ b/test/metrics_help_test.ts
@@ -6,7 +6,8 @@
 const USE = /\b(?:count|observe|gauge)\(\s*"([^"]+)"/g;
 
 describe("metrics", () => {
-  it("have a help text each and names of the usual form", () => {
+  // Guards against a metric that is exported without a help text.
+  it("each have a help text and a well-formed name", () => {
     const options = { recursive: true, encoding: "utf8" } as const;
     const names = readdirSync(SOURCES, options)
       .filter((file) => file.endsWith(".ts") && !file.endsWith("_test.ts"))
--- a/test/paused_daemon_test.ts
+++ b/test/paused_daemon_test.ts
@@ -1,4 +1,4 @@
-/** A daemon that stood still has heard nobody, which tells nothing of them. */
+/** A paused daemon receives no reports, which proves nothing of its targets. */
 import { expect } from "chai";
 import { sendCall, longBrief } from "./support/caller.ts";
 import { Deployment } from "./support/deployment.ts";
@@ -7,10 +7,10 @@
 const ZONE = "vn-north-a";
 const DAEMON = `daemon-${ZONE}-0`;
 const ROUNDS = 6;
-/** Twice the oldest report that counts, milliseconds. */
+/** Twice the `freshness` of reports, milliseconds. */
 const PAUSE = 1_000;
 
-describe("a daemon that stood still", () => {
+describe("a paused daemon", () => {
   let deployment: Deployment;
 
   beforeEach(async () => {
@@ -26,9 +26,9 @@
 
   afterEach(() => deployment[Symbol.asyncDispose]());
 
-  // Guards against a pause of the daemon taken for the silence of all targets,
-  // and all callers refused for it.
-  it("serves what was sent to it meanwhile", async () => {
+  // Guards against a daemon that considers all targets silent after its own
+  // pause, and refuses all callers.
+  it("serves calls sent during the pause", async () => {
     const daemon = deployment.process(DAEMON);
     const address = daemon.listeningField("callers");
     for (let round = 0; round < ROUNDS; round += 1) {
--- a/test/plan_lists_outage_test.ts
+++ b/test/plan_lists_outage_test.ts
@@ -1,7 +1,8 @@
 /**
- * The plan lists under cuts, a stale or restored platform, bad input and
- * racing operators. One deployment serves all of it; what counts is what
- * callers get by the lists, and that no daemon's version ever goes back.
+ * Guards against plan lists that do not reach a daemon, or that go back to an
+ * older version there, under cuts, a stale or restored platform, bad input and
+ * concurrent operators. All tests share one deployment and check what callers
+ * get by the lists; no daemon's version may ever decrease.
  */
 import { createHash } from "node:crypto";
 import { readFileSync } from "node:fs";
@@ -18,14 +19,15 @@
 import { VersionSampler } from "./support/version_sampler.ts";
 
 const ZONES = ["vn-north-a", "vn-north-b", "vn-north-c"];
-const FAR = "daemon-vn-north-c-";
+const CUT_ZONE_PREFIX = "daemon-vn-north-c-";
 const EXAMPLES = new URL("../examples/song_lam/", import.meta.url);
 const EDITS = 50;
-const EDIT_EVERY = 100;
+/** Milliseconds. */
+const EDIT_INTERVAL = 100;
 const PUBLISHED = readFileSync(new URL("customers.yaml", EXAMPLES), "utf8");
 const PLANS = readFileSync(new URL("plans.yaml", EXAMPLES), "utf8");
 
-/** The published customers and one more, by which a version is told. */
+/** The published customers and one more, which identifies the version. */
 function customersWith(secret: string): string {
   const digest = createHash("sha256").update(secret).digest("hex");
   return `${PUBLISHED}  - account: added
@@ -68,7 +70,7 @@
     expect(sampler.regressions).to.deep.equal([]);
   });
 
-  /** The status of a call's outcome by a credential at a daemon. */
+  /** The HTTP status of a call with a credential at a daemon. */
   async function callStatus(daemon: string, credential: string) {
     const address = deployment.process(daemon).listeningField("callers");
     const operation = "delivery-api/feed";
@@ -76,7 +78,10 @@
     return reply.status;
   }
 
-  function servedAt(names: readonly string[], secret: string): Promise<void> {
+  function waitUntilServed(
+    names: readonly string[],
+    secret: string,
+  ): Promise<void> {
     return waitFor(`${secret} is served at ${names.join(" ")}`, async () => {
       const answers = names.map((name) => callStatus(name, secret));
       return (await Promise.all(answers)).every((status) => status === 200);
@@ -88,7 +93,7 @@
     return status as IDaemonStatus;
   }
 
-  function hasAlarm(daemon: string, alarm: string, isRaised: boolean) {
+  function waitForAlarm(daemon: string, alarm: string, isRaised: boolean) {
     return waitFor(`${alarm} at ${daemon}: ${isRaised}`, async () => {
       const { alarms } = await statusOf(daemon);
       return alarms.some((entry) => entry.alarm === alarm) === isRaised;
@@ -97,42 +102,46 @@
 
   function setLinks(prefix: string, mode: LinkMode): void {
     for (const daemon of daemons) {
-      if (`${prefix}${daemon}`.includes(FAR) || prefix === "peers>") {
+      if (
+        `${prefix}${daemon}`.includes(CUT_ZONE_PREFIX) ||
+        prefix === "peers>"
+      ) {
         deployment.link(`${prefix}${daemon}`).setMode(mode);
       }
     }
   }
 
-  const far = () => daemons.filter((name) => name.startsWith(FAR));
-  const near = () => daemons.filter((name) => !name.startsWith(FAR));
+  const cutDaemons = () =>
+    daemons.filter((name) => name.startsWith(CUT_ZONE_PREFIX));
+  const otherDaemons = () =>
+    daemons.filter((name) => !name.startsWith(CUT_ZONE_PREFIX));
 
   it("reach a zone that is cut from the platform only", async () => {
-    // The way from one zone to the platform is gone for a while. Without help
-    // from other zones its customers would be held to yesterday's plans, and a
-    // customer who has just been added would be turned away there.
+    // One zone loses the platform but not its peers. Without lists from other
+    // zones, it would apply outdated plans and refuse a newly added customer.
     setLinks("platform<", LinkMode.Cut);
-    await hasAlarm(`${FAR}0`, "plan_lists_unconfirmed", true);
+    await waitForAlarm(`${CUT_ZONE_PREFIX}0`, "plan_lists_unconfirmed", true);
     await operator.putList("customers", customersWith("through-peers"));
-    await servedAt(daemons, "through-peers");
-    expect((await statusOf(`${FAR}0`)).lists_age_ms).to.be.above(0);
+    await waitUntilServed(daemons, "through-peers");
+    expect((await statusOf(`${CUT_ZONE_PREFIX}0`)).lists_age_ms).to.be.above(0);
     setLinks("platform<", LinkMode.Pass);
-    await hasAlarm(`${FAR}0`, "plan_lists_unconfirmed", false);
+    await waitForAlarm(`${CUT_ZONE_PREFIX}0`, "plan_lists_unconfirmed", false);
   });
 
-  it("stay in force in a zone cut from everyone, and then follow", async () => {
-    // A zone loses both the platform and its peers. Its callers must go on
-    // being served by the lists it has, operators must see how old those are,
-    // and once the cut ends the edits made meanwhile must come into force.
+  it("stay in force in an isolated zone, and catch up afterwards", async () => {
+    // A zone loses both the platform and its peers. It must keep serving by the
+    // lists it has and show their age to operators; the edits made meanwhile
+    // must come into force once the cut ends.
     await operator.putList("customers", customersWith("before-cut"));
-    await servedAt(daemons, "before-cut");
+    await waitUntilServed(daemons, "before-cut");
     setLinks("platform<", LinkMode.Cut);
     setLinks("peers>", LinkMode.Cut);
     await operator.putList("customers", customersWith("during-cut"));
-    await servedAt(near(), "during-cut");
-    for (const daemon of far()) {
+    await waitUntilServed(otherDaemons(), "during-cut");
+    for (const daemon of cutDaemons()) {
       expect(await callStatus(daemon, "before-cut")).to.equal(200);
       expect(await callStatus(daemon, "during-cut")).to.equal(401);
-      await hasAlarm(daemon, "plan_lists_unconfirmed", true);
+      await waitForAlarm(daemon, "plan_lists_unconfirmed", true);
       const { lists_age_ms: age } = await statusOf(daemon);
       await waitFor("the age grows", async () => {
         return ((await statusOf(daemon)).lists_age_ms ?? 0) > (age ?? 0);
@@ -140,53 +149,59 @@
     }
     setLinks("platform<", LinkMode.Pass);
     setLinks("peers>", LinkMode.Pass);
-    await servedAt(far(), "during-cut");
+    await waitUntilServed(cutDaemons(), "during-cut");
   });
 
   it("come into force although open connections went silent", async () => {
-    // Something between the daemons and the platform has lost track of every
-    // open connection; new ones work. A daemon that waited on its old watch
-    // would not hear of an edit until the connection dies, minutes later.
+    // A device between daemons and platform loses the state of open
+    // connections; new ones work. A daemon that waits on its old watch would
+    // miss edits until the connection times out minutes later.
     for (const daemon of daemons) {
       deployment.link(`platform<${daemon}`).setMode(LinkMode.SilentExisting);
     }
     await operator.putList("customers", customersWith("after-silence"));
-    await servedAt(daemons, "after-silence");
+    await waitUntilServed(daemons, "after-silence");
   });
 
   it("never go back by a stale read or a late watch event", async () => {
-    // Reads may come from a copy that lags, and watch events out of order. A
-    // daemon that believed them would put an old plan back in force; customers
-    // would see their limits flip to and fro.
-    const old = await operator.putList("customers", customersWith("old"));
+    // Reads may come from a stale replica, and watch events may be reordered. A
+    // daemon that accepts them would put an old plan back in force, and limits
+    // would alternate between versions.
+    const oldVersion = await operator.putList(
+      "customers",
+      customersWith("old"),
+    );
     await operator.setFaults({ late_events: [PLAN_LIST_KIND] });
     await operator.putList("customers", customersWith("late-1"));
     await operator.putList("customers", customersWith("late-2"));
-    await servedAt(daemons, "late-2");
-    await operator.setFaults({ late_events: [], stale: { plan_lists: old } });
-    await hasAlarm(daemons[0] ?? "", "platform_behind", true);
+    await waitUntilServed(daemons, "late-2");
+    await operator.setFaults({
+      late_events: [],
+      stale: { plan_lists: oldVersion },
+    });
+    await waitForAlarm(daemons[0] ?? "", "platform_behind", true);
     for (const daemon of daemons) {
       expect(await callStatus(daemon, "late-2")).to.equal(200);
     }
     await operator.setFaults({ stale: { plan_lists: null } });
-    await hasAlarm(daemons[0] ?? "", "platform_behind", false);
+    await waitForAlarm(daemons[0] ?? "", "platform_behind", false);
   });
 
   it("keep the last good one when the newest is bad", async () => {
-    // An operator's tool writes a list with mistakes past the checks, another
-    // program overwrites a list object and a daemon's entry with something
-    // else. Customers must not notice; operators must find every mistake with
-    // its place, and what they find must be what was written.
+    // A list with errors bypasses the checks, and another program overwrites a
+    // list object and a daemon's entry with foreign values. The lists in force
+    // must stay; operators must see every error with its position, and the
+    // foreign value must stay as it was written.
     await operator.putList("customers", customersWith("good"));
-    await servedAt(daemons, "good");
-    const bad = customersWith("bad").replace(/plan: readers/g, "plann: 5");
-    await operator.putList("customers", bad);
-    const written = { text: 5, by: "hand" };
-    await operator.put(PLAN_LIST_KIND, "plans", written);
+    await waitUntilServed(daemons, "good");
+    const badText = customersWith("bad").replace(/plan: readers/g, "plann: 5");
+    await operator.putList("customers", badText);
+    const foreignValue = { text: 5, by: "hand" };
+    await operator.put(PLAN_LIST_KIND, "plans", foreignValue);
     await operator.put("daemons", "by-hand", null);
     await operator.put("daemons", "by-hand-2", { daemon: 7 });
     for (const daemon of daemons) {
-      await waitFor(`${daemon} tells of the findings`, async () => {
+      await waitFor(`${daemon} reports the findings`, async () => {
         const { findings } = await statusOf(daemon);
         const expected = [
           "customers:7:5: customers[1].plan: is missing; expected string",
@@ -203,23 +218,23 @@
       expect(await callStatus(daemon, "bad")).to.equal(401);
     }
     const address = ["--platform", deployment.platformAddress];
-    const told = await deployment.runCommandLine("status", ...address);
-    expect(told.output).to.include("daemons/by-hand:1:1: Invalid input");
-    expect(told.output).to.include("daemons/by-hand-2:1:1: daemon: Invalid");
+    const result = await deployment.runCommandLine("status", ...address);
+    expect(result.output).to.include("daemons/by-hand:1:1: Invalid input");
+    expect(result.output).to.include("daemons/by-hand-2:1:1: daemon: Invalid");
     const found = await operator.platform.read(PLAN_LIST_KIND, "plans");
-    expect(found.unwrap().unwrap().value).to.deep.equal(written);
+    expect(found.unwrap().unwrap().value).to.deep.equal(foreignValue);
     const output = deployment.process(daemons[0] ?? "").output;
     expect(output).to.match(/customers\[1\]\.plann.*plan_list_refused/);
     await operator.putList("plans", PLANS);
     await operator.putList("customers", customersWith("mended"));
-    await servedAt(daemons, "mended");
-    await hasAlarm(daemons[0] ?? "", "plan_list_refused", false);
+    await waitUntilServed(daemons, "mended");
+    await waitForAlarm(daemons[0] ?? "", "plan_list_refused", false);
   });
 
   it("converge in all zones after 50 edits in 5 s", async () => {
-    // Two operators' tools edit at the same time, ten times a second. Every
-    // zone must end with the last edit, and the platform must not be asked
-    // more for it: two watches a zone wait, whatever the number of daemons.
+    // The two lists are edited in turn, ten times a second. Every zone must end
+    // with the last edit, and the platform's load must not grow with the number
+    // of daemons: two watches per zone are open.
     const before = await operator.fetchCallCounts();
     for (let edit = 1; edit <= EDITS; edit++) {
       const [list, text] =
@@ -227,9 +242,9 @@
           ? ["customers", customersWith(`edit-${edit}`)]
           : ["plans", `${PLANS}# edit ${edit}\n`];
       await operator.putList(list ?? "", text ?? "");
-      await sleep(EDIT_EVERY);
+      await sleep(EDIT_INTERVAL);
     }
-    await servedAt(daemons, `edit-${EDITS}`);
+    await waitUntilServed(daemons, `edit-${EDITS}`);
     const after = await operator.fetchCallCounts();
     expect(after["waiting plan_lists"]).to.be.at.most(2 * ZONES.length);
     const key = "GET watch plan_lists";
@@ -238,15 +253,15 @@
   });
 
   it("survive a platform restored to older content", async () => {
-    // The platform is put back from a copy: its versions are lower than those
-    // in force. Daemons must not follow it back, must say so, and an operator
-    // must be able to go on from there without restarting anything.
-    const copy = await operator.setFaults({});
+    // The platform is restored from a backup, so its versions are lower than
+    // those in force. Daemons must keep the newer lists and raise an alarm, and
+    // an operator must be able to recover without restarting anything.
+    const backupVersion = await operator.setFaults({});
     await operator.putList("customers", customersWith("after-copy"));
-    await servedAt(daemons, "after-copy");
-    await operator.setFaults({ restore: copy });
+    await waitUntilServed(daemons, "after-copy");
+    await operator.setFaults({ restore: backupVersion });
     for (const daemon of daemons) {
-      await hasAlarm(daemon, "platform_behind", true);
+      await waitForAlarm(daemon, "platform_behind", true);
       expect(await callStatus(daemon, "after-copy")).to.equal(200);
     }
     const address = ["--platform", deployment.platformAddress];
@@ -267,11 +282,11 @@
     for (const daemon of daemons) {
       expect(await callStatus(daemon, "after-copy")).to.equal(401);
       expect(await callStatus(daemon, "editor-desk-secret")).to.equal(200);
-      await hasAlarm(daemon, "platform_behind", false);
+      await waitForAlarm(daemon, "platform_behind", false);
     }
   });
 
-  it("are followed by status and the burn report", async () => {
+  it("are shown by status, and calls by the burn report", async () => {
     const address = ["--platform", deployment.platformAddress];
     const credential = "editor-desk-secret";
     for (const daemon of daemons) {
@@ -287,13 +302,13 @@
     const status = await deployment.runCommandLine("status", ...address);
     expect(status.output).to.match(/customers +1\d{12} +1\d{12} +1\d{12}/);
     expect(status.output).to.match(/vn-north-c-fabric +daemon-vn-north-c-/);
-    const told = await deployment.runCommandLine(
+    const result = await deployment.runCommandLine(
       "report",
       "burn",
       "--json",
       ...address,
     );
-    const { rows, daemons: counted } = JSON.parse(told.output) as IBurnReport;
+    const { rows, daemons: counted } = JSON.parse(result.output) as IBurnReport;
     expect(counted).to.have.length(daemons.length);
     const streams = rows.filter(
       ({ service, account }) =>
--- a/test/plan_lists_start_test.ts
+++ b/test/plan_lists_start_test.ts
@@ -1,4 +1,4 @@
-/** Daemons started while platform, peers or both are out of reach or stale. */
+/** Daemons started while platform or peers are unreachable or stale. */
 import { createHash } from "node:crypto";
 import { expect } from "chai";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
@@ -9,8 +9,8 @@
 import { waitFor } from "./support/process_handle.ts";
 
 const ZONE = "vn-north-a";
-const FIRST = `daemon-${ZONE}-0`;
-const LATE = "daemon-late";
+const FIRST_DAEMON = `daemon-${ZONE}-0`;
+const LATE_DAEMON = "daemon-late";
 
 function customersOnly(secret: string): string {
   const digest = createHash("sha256").update(secret).digest("hex");
@@ -34,16 +34,16 @@
       plainService: "delivery-api",
     });
     operator = new Operator(deployment.platformAddress);
-    await deployment.startDaemon(LATE, ZONE);
+    await deployment.startDaemon(LATE_DAEMON, ZONE);
   });
 
   beforeEach(async () => {
-    await deployment.process(LATE)[Symbol.asyncDispose]();
+    await deployment.process(LATE_DAEMON)[Symbol.asyncDispose]();
   });
 
   afterEach(async () => {
     await operator.setFaults({ stale: { plan_lists: null } });
-    for (const daemon of [FIRST, LATE]) {
+    for (const daemon of [FIRST_DAEMON, LATE_DAEMON]) {
       deployment.link(`platform<${daemon}`).setMode(LinkMode.Pass);
       deployment.link(`peers>${daemon}`).setMode(LinkMode.Pass);
     }
@@ -54,78 +54,82 @@
     await deployment[Symbol.asyncDispose]();
   });
 
-  async function callAt(daemon: string, credential: string) {
+  async function callFeed(daemon: string, credential: string) {
     const address = deployment.process(daemon).listeningField("callers");
     const operation = "delivery-api/feed";
     return sendCall({ address, credential, operation, body: {} });
   }
 
-  function servedAt(daemon: string, credential: string): Promise<void> {
+  function waitUntilServed(daemon: string, credential: string): Promise<void> {
     return waitFor(`${credential} is served at ${daemon}`, async () => {
-      return (await callAt(daemon, credential)).status === 200;
+      return (await callFeed(daemon, credential)).status === 200;
     });
   }
 
   it("takes the newest lists from its peers", async () => {
-    // The platform is down while an entry instance is replaced. The new one
-    // finds a peer by its settings and must know the customers at once; else
-    // each replacement during an outage would turn callers away.
+    // Guards against refused callers when an entry instance is replaced during
+    // a platform outage: the new daemon must get the lists from a peer in its
+    // settings.
     await operator.putList("customers", customersOnly("newest"));
-    await servedAt(FIRST, "newest");
-    deployment.link(`platform<${LATE}`).setMode(LinkMode.Cut);
-    await deployment.startDaemon(LATE, ZONE);
+    await waitUntilServed(FIRST_DAEMON, "newest");
+    deployment.link(`platform<${LATE_DAEMON}`).setMode(LinkMode.Cut);
+    await deployment.startDaemon(LATE_DAEMON, ZONE);
     await waitFor("the late daemon knows the customer", async () => {
-      const { body } = await callAt(LATE, "newest");
+      const { body } = await callFeed(LATE_DAEMON, "newest");
       return body.reason === "no_replica_available";
     });
-    const { ready } = await deployment.status(LATE);
+    const { ready } = await deployment.status(LATE_DAEMON);
     expect(ready).to.equal(true);
   });
 
   it("does not serve by a stale read of the platform", async () => {
-    // The platform answers from a copy that lags, and an account was removed
-    // since. A daemon that served by that answer would let the account in
-    // again, while its neighbours turn it away.
-    const stale = await operator.putList("customers", customersOnly("removed"));
-    await servedAt(FIRST, "removed");
+    // Guards against an account that is admitted again after its removal: the
+    // platform answers from a stale replica that still lists it, while the
+    // daemon's peers refuse it.
+    const staleVersion = await operator.putList(
+      "customers",
+      customersOnly("removed"),
+    );
+    await waitUntilServed(FIRST_DAEMON, "removed");
     await operator.putList("customers", customersOnly("current"));
-    await servedAt(FIRST, "current");
-    await operator.setFaults({ stale: { plan_lists: stale } });
-    await deployment.startDaemon(LATE, ZONE);
+    await waitUntilServed(FIRST_DAEMON, "current");
+    await operator.setFaults({ stale: { plan_lists: staleVersion } });
+    await deployment.startDaemon(LATE_DAEMON, ZONE);
     await waitFor("the late daemon serves the current account", async () => {
-      const removed = await callAt(LATE, "removed");
+      const removed = await callFeed(LATE_DAEMON, "removed");
       expect(removed.body.reason).to.be.oneOf([
         "plan_lists_unknown",
         "unknown_caller",
       ]);
-      return (await callAt(LATE, "current")).status === 200;
+      return (await callFeed(LATE_DAEMON, "current")).status === 200;
     });
   });
 
-  it("says that it knows nothing with no one in reach", async () => {
-    // Neither platform nor peers answer. The daemon must not guess: callers
-    // are told to come back, operators see why, and it serves once it can.
+  it("refuses calls while platform and peers are unreachable", async () => {
+    // Guards against calls served, or refused for good, without any list: the
+    // daemon must refuse with a retry delay, raise an alarm, and serve once the
+    // platform is reachable.
     await operator.putList("customers", customersOnly("later"));
-    await servedAt(FIRST, "later");
-    for (const daemon of [FIRST, LATE]) {
+    await waitUntilServed(FIRST_DAEMON, "later");
+    for (const daemon of [FIRST_DAEMON, LATE_DAEMON]) {
       deployment.link(`peers>${daemon}`).setMode(LinkMode.Cut);
     }
-    deployment.link(`platform<${LATE}`).setMode(LinkMode.Cut);
-    await deployment.startDaemon(LATE, ZONE);
-    await waitFor("the late daemon says so", async () => {
-      const status: unknown = await deployment.status(LATE);
+    deployment.link(`platform<${LATE_DAEMON}`).setMode(LinkMode.Cut);
+    await deployment.startDaemon(LATE_DAEMON, ZONE);
+    await waitFor("the late daemon raises the alarm", async () => {
+      const status: unknown = await deployment.status(LATE_DAEMON);
       const { alarms } = status as IDaemonStatus;
       const names = alarms.map(({ alarm }) => String(alarm));
       return names.includes("plan_lists_unknown");
     });
-    const refusal = await callAt(LATE, "later");
+    const refusal = await callFeed(LATE_DAEMON, "later");
     expect(refusal.status).to.equal(503);
     expect(refusal.body).to.include({
       outcome: "not_run",
       reason: "plan_lists_unknown",
     });
     expect(refusal.body.retry_after_ms).to.be.above(0);
-    deployment.link(`platform<${LATE}`).setMode(LinkMode.Pass);
-    await servedAt(LATE, "later");
+    deployment.link(`platform<${LATE_DAEMON}`).setMode(LinkMode.Pass);
+    await waitUntilServed(LATE_DAEMON, "later");
   });
 });
--- a/test/spill_test.ts
+++ b/test/spill_test.ts
@@ -1,4 +1,4 @@
-/** Requests of a zone that cannot serve are served by another zone. */
+/** Requests of a zone that cannot serve them spill to another zone. */
 import { expect } from "chai";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
 import { wholeText } from "../src/stand_ins/engine_member/text.ts";
@@ -8,11 +8,11 @@
 import type { IStatus } from "./support/deployment.ts";
 import { waitFor } from "./support/process_handle.ts";
 
-const DARK = "vn-north-a";
-const LIT = "vn-north-b";
+const FAILED_ZONE = "vn-north-a";
+const HEALTHY_ZONE = "vn-north-b";
 const CREDENTIAL = "editor-desk-secret";
 
-/** The part of a daemon's status that tells of other zones. */
+/** The part of a daemon's status that describes other zones. */
 interface IZonesStatus extends IStatus {
   readonly zones: readonly {
     readonly zone: string;
@@ -20,15 +20,18 @@
   }[];
 }
 
-/** Requests that engines of a zone began, by their identifiers. */
-async function begun(deployment: Deployment, zone: string): Promise<string[]> {
+/** The identifiers of requests that engines of a zone began. */
+async function begunRequests(
+  deployment: Deployment,
+  zone: string,
+): Promise<string[]> {
   const requests: string[] = [];
   for (const engine of deployment.processNames(`engine-${zone}`)) {
     const record = await deployment.fetchRecord<{ deeds: IEngineLogEntry[] }>(
       engine,
     );
-    const deeds = record.deeds.filter(({ kind }) => kind === "began");
-    requests.push(...deeds.map(({ requestId }) => requestId));
+    const entries = record.deeds.filter(({ kind }) => kind === "began");
+    requests.push(...entries.map(({ requestId }) => requestId));
   }
   return requests;
 }
@@ -39,23 +42,24 @@
 }
 
 describe("spilling to another zone", () => {
-  // All engines of one zone lose power while their zone's daemons live on. A
-  // caller of that zone would be refused, and a stream under way would break,
-  // although the next zone stands ready.
-  it("serves a dark zone's callers, and finishes its streams", async () => {
+  // Guards against refused callers and broken streams in a zone whose engines
+  // all fail while its daemons run and another zone has capacity.
+  it("serves a failed zone's callers, and finishes its streams", async () => {
     await using deployment = await Deployment.start({
       example: "song_lam",
-      zones: [DARK, LIT],
+      zones: [FAILED_ZONE, HEALTHY_ZONE],
       daemonsPerZone: 1,
       enginesPerZone: 4,
       plainService: "delivery-api",
     });
-    const daemon = `daemon-${DARK}-0`;
+    const daemon = `daemon-${FAILED_ZONE}-0`;
     const caller = callerOf(deployment, daemon);
     await waitFor("the other zone's groups are known", async () => {
       const { zones } = (await deployment.status(daemon)) as IZonesStatus;
-      const lit = zones.find(({ zone }) => zone === LIT);
-      const load = lit?.loads.find(({ service }) => service === "summarizer");
+      const healthy = zones.find(({ zone }) => zone === HEALTHY_ZONE);
+      const load = healthy?.loads.find(
+        ({ service }) => service === "summarizer",
+      );
       return (load?.places ?? 0) > 0;
     });
 
@@ -66,16 +70,20 @@
       requestId: "under-way",
       body: { prompt, maximum_tokens: 400 },
     });
-    await waitFor("the stream is under way", async () => {
-      return (await begun(deployment, DARK)).includes("under-way");
+    await waitFor("the stream has begun", async () => {
+      return (await begunRequests(deployment, FAILED_ZONE)).includes(
+        "under-way",
+      );
     });
-    for (const engine of deployment.processNames(`engine-${DARK}`)) {
+    for (const engine of deployment.processNames(`engine-${FAILED_ZONE}`)) {
       deployment.process(engine).signal("SIGKILL");
     }
     const reply = await stream;
     expect(reply.isWhole).to.equal(true);
     expect(reply.text).to.equal(wholeText(prompt, 400));
-    expect(await begun(deployment, LIT)).to.include("under-way");
+    expect(await begunRequests(deployment, HEALTHY_ZONE)).to.include(
+      "under-way",
+    );
 
     const headline = await sendCall({
       ...caller,
@@ -84,11 +92,11 @@
       body: { prompt, maximum_tokens: 8 },
     });
     expect(headline.body.outcome).to.equal("completed");
-    expect(await begun(deployment, LIT)).to.include("after");
+    expect(await begunRequests(deployment, HEALTHY_ZONE)).to.include("after");
 
-    // The zones are cut from each other as well: nothing is left to serve by,
-    // and the caller is told at once that nothing ran and when to come back.
-    deployment.link(`peers>daemon-${LIT}-0`).setMode(LinkMode.Cut);
+    // The zones are cut from each other as well, so no capacity is left: the
+    // caller must be refused at once, with a retry delay.
+    deployment.link(`peers>daemon-${HEALTHY_ZONE}-0`).setMode(LinkMode.Cut);
     const refused = await sendCall({
       ...caller,
       operation: "summarizer/headline",
@@ -97,6 +105,8 @@
     });
     expect(refused.body.outcome).to.be.oneOf(["not_run", "unknown"]);
     expect(refused.body.retry_after_ms).to.be.greaterThan(0);
-    expect(await begun(deployment, LIT)).to.not.include("cut-off");
+    expect(await begunRequests(deployment, HEALTHY_ZONE)).to.not.include(
+      "cut-off",
+    );
   });
 });
--- a/test/tls_test.ts
+++ b/test/tls_test.ts
@@ -1,4 +1,4 @@
-/** TLS towards callers, and between daemons with both sides checked. */
+/** TLS for callers, and mutual TLS between daemons. */
 import { readFileSync } from "node:fs";
 import { expect } from "chai";
 import { Agent, request } from "undici";
@@ -9,10 +9,10 @@
 
 const ZONE = "vn-north-a";
 const TRUSTED = `daemon-${ZONE}-0`;
-const STRANGER = `daemon-${ZONE}-1`;
-const FOLLOWER = `daemon-${ZONE}-2`;
+const UNTRUSTED = `daemon-${ZONE}-1`;
+const TRUSTED_PEER = `daemon-${ZONE}-2`;
 
-/** Enough that a stranger that is told anything hears of one of them. */
+/** Enough edits that an untrusted daemon would receive one if any were sent. */
 const EDITS = 5;
 
 async function plansVersion(
@@ -23,7 +23,7 @@
   return lists.find(({ list }) => list === "plans")?.version ?? 0;
 }
 
-/** Puts the plans list in force again, as an operator would. */
+/** Applies the plans list again, as an operator would. */
 async function applyPlans(deployment: Deployment): Promise<number> {
   const file = new URL("../examples/song_lam/plans.yaml", import.meta.url);
   const platform = ["--platform", deployment.platformAddress];
@@ -34,7 +34,7 @@
   return Number(/version=(\d+)/.exec(applied.output)?.[1]);
 }
 
-async function authenticatedCall(
+async function callOverTls(
   deployment: Deployment,
   authority: TestCertificateAuthority,
 ): Promise<number> {
@@ -53,17 +53,17 @@
 }
 
 describe("TLS", () => {
-  // One daemon's certificate is signed by somebody else, as after a mistaken
-  // roll-out or by an intruder. Trusted daemons must neither tell it anything
-  // nor believe it; a user would otherwise be served by a forged plan list.
-  it("serves callers, and passes lists on among trusted peers only", async () => {
+  // Guards against plan lists exchanged with a daemon whose certificate another
+  // authority signed, after a faulty roll-out or by an intruder: a forged list
+  // would decide which callers are served.
+  it("serves callers, and distributes lists to trusted peers only", async () => {
     using authority = await TestCertificateAuthority.create();
-    using elsewhere = await TestCertificateAuthority.create();
+    using otherAuthority = await TestCertificateAuthority.create();
     const callers = await authority.sign("callers");
-    const own = await authority.sign("peers");
-    const foreign = await elsewhere.sign("peers");
-    const root = authority.pathOf("authority.pem");
-    const foreignRoot = elsewhere.pathOf("authority.pem");
+    const trustedFiles = await authority.sign("peers");
+    const untrustedFiles = await otherAuthority.sign("peers");
+    const trustedRoot = authority.pathOf("authority.pem");
+    const untrustedRoot = otherAuthority.pathOf("authority.pem");
     await using deployment = await Deployment.start({
       example: "song_lam",
       zones: [ZONE],
@@ -74,25 +74,25 @@
         tls: {
           callers,
           peers:
-            daemon === STRANGER
-              ? { ...foreign, authority: foreignRoot }
-              : { ...own, authority: root },
+            daemon === UNTRUSTED
+              ? { ...untrustedFiles, authority: untrustedRoot }
+              : { ...trustedFiles, authority: trustedRoot },
         },
       }),
     });
-    expect(readFileSync(root, "utf8")).to.equal(authority.certificate);
-    expect(await authenticatedCall(deployment, authority)).to.equal(200);
+    expect(readFileSync(trustedRoot, "utf8")).to.equal(authority.certificate);
+    expect(await callOverTls(deployment, authority)).to.equal(200);
 
-    for (const daemon of [STRANGER, FOLLOWER]) {
+    for (const daemon of [UNTRUSTED, TRUSTED_PEER]) {
       deployment.link(`platform<${daemon}`).setMode(LinkMode.Cut);
     }
-    const before = await plansVersion(deployment, STRANGER);
+    const before = await plansVersion(deployment, UNTRUSTED);
     for (let edit = 0; edit < EDITS; edit++) {
       const version = await applyPlans(deployment);
-      await waitFor("the trusted peer passes the list on", async () => {
-        return (await plansVersion(deployment, FOLLOWER)) === version;
+      await waitFor("the list reaches the other trusted peer", async () => {
+        return (await plansVersion(deployment, TRUSTED_PEER)) === version;
       });
     }
-    expect(await plansVersion(deployment, STRANGER)).to.equal(before);
+    expect(await plansVersion(deployment, UNTRUSTED)).to.equal(before);
   });
 });
--- a/test/whole_answers_test.ts
+++ b/test/whole_answers_test.ts
@@ -1,8 +1,8 @@
 /**
- * Every caller gets the whole answer to its own request, or a reset connection
- * and an outcome in the log: never a short answer that looks whole. What is
- * whole is known here, since the engines' text depends on prompt and place
- * alone; where it ran is judged by what the engines recorded.
+ * Guards against a truncated or foreign answer that looks complete. Every
+ * caller must get the complete answer to its own request, or a reset connection
+ * and an outcome in the log. The engines' text depends only on prompt and
+ * position, so the expected answer is known; their records show where it ran.
  */
 import { expect } from "chai";
 import { LinkMode } from "../src/stand_ins/fault_proxy/fault_proxy.ts";
@@ -47,40 +47,46 @@
     await deployment.waitUntilServing();
   });
 
-  function caller(id: string, tokens = TOKENS) {
+  function briefCall(id: string, tokens = TOKENS) {
     const address = deployment.process(DAEMON).listeningField("callers");
     return longBrief(address, { id, tokens });
   }
 
-  function freshId(): string {
+  function nextId(): string {
     serial += 1;
     return `whole-${serial}`;
   }
 
-  /** An answer must be whole and the caller's own, or plainly broken off. */
-  function check(reply: IStreamReply, id: string, may = "be whole"): void {
+  /** Asserts that an answer is complete and the caller's own, or was reset. */
+  function expectAnswer(
+    reply: IStreamReply,
+    id: string,
+    allowed = "be whole",
+  ): void {
     const whole = wholeText(`story ${id}`, TOKENS);
-    expect(whole.startsWith(reply.text), "a prefix of its own").to.equal(true);
-    if (may === MAY_RESET && reply.wasReset) {
+    expect(whole.startsWith(reply.text), "prefix of its text").to.equal(true);
+    if (allowed === MAY_RESET && reply.wasReset) {
       expect(reply.isWhole).to.equal(false);
       return;
     }
     expect(reply).to.include({ isWhole: true, wasReset: false, text: whole });
   }
 
-  async function deeds(engine: string): Promise<readonly IEngineLogEntry[]> {
+  async function fetchLogEntries(
+    engine: string,
+  ): Promise<readonly IEngineLogEntry[]> {
     const record = await deployment.fetchRecord<{
       deeds: readonly IEngineLogEntry[];
     }>(engine);
     return record.deeds;
   }
 
-  /** The member that has begun a request, once one has. */
-  async function leaderOf(id: string): Promise<string> {
+  /** Waits until a member has begun a request, and returns it. */
+  async function waitForLeader(id: string): Promise<string> {
     let leader = "";
     await waitFor(`${id} has begun`, async () => {
       for (const engine of deployment.processNames("engine-")) {
-        const began = (await deeds(engine)).some(
+        const began = (await fetchLogEntries(engine)).some(
           ({ kind, requestId }) => kind === "began" && requestId === id,
         );
         leader = began ? engine : leader;
@@ -90,20 +96,20 @@
     return leader;
   }
 
-  /** Starts a stream and waits until its first text has come. */
-  async function begin(
+  /** Starts a stream and waits for its first text. */
+  async function startStream(
     id: string,
   ): Promise<{ reply: Promise<IStreamReply>; leader: string }> {
     let hasText = false;
     const onFirstText = () => {
       hasText = true;
     };
-    const reply = sendStreamCall({ ...caller(id), onFirstText });
+    const reply = sendStreamCall({ ...briefCall(id), onFirstText });
     await waitFor(`${id} has text`, () => hasText);
-    return { reply, leader: await leaderOf(id) };
+    return { reply, leader: await waitForLeader(id) };
   }
 
-  /** The members of the group that an engine is in. */
+  /** The members of the group that an engine belongs to. */
   async function groupOf(engine: string): Promise<readonly string[]> {
     const { groups } = await deployment.status(DAEMON);
     return groups.find(({ members }) => members.includes(engine))!.members;
@@ -112,25 +118,25 @@
   const FAULTS = [
     // The engine's connection breaks in the middle of an answer.
     StreamFault.Reset,
-    // The engine closes its answer early, as if it were whole.
+    // The engine closes its answer early, as if it were complete.
     StreamFault.EndEarly,
-    // An event of another request's answer comes in between.
+    // An event of another request's answer is inserted.
     StreamFault.ForeignEvent,
-    // An event is delivered twice, or never, or does not parse.
+    // An event is duplicated, is lost or cannot be parsed.
     StreamFault.DuplicateEvent,
     StreamFault.MissingEvent,
     StreamFault.MalformedEvent,
   ];
   for (const fault of FAULTS) {
-    it(`are sent though an engine's stream meets ${fault}`, async () => {
+    it(`are sent though an engine's stream has the fault ${fault}`, async () => {
       for (const engine of deployment.processNames("engine-")) {
         await deployment.setFault(engine, fault);
       }
-      const id = freshId();
-      check(await sendStreamCall(caller(id)), id);
-      const buffered = freshId();
+      const id = nextId();
+      expectAnswer(await sendStreamCall(briefCall(id)), id);
+      const buffered = nextId();
       const reply = await sendCall({
-        ...caller(buffered),
+        ...briefCall(buffered),
         operation: "summarizer/headline",
       });
       expect(reply.body.answer).to.deep.equal({
@@ -140,18 +146,18 @@
     });
   }
 
-  // Every group breaks off at the same place, time and again. The caller must
-  // see a broken connection: a plain close would look like a short answer.
-  it("are never feigned when all groups break off", async () => {
+  // Every group's stream breaks at the same position on each attempt. The
+  // caller must see a reset: an ordinary close would look like a short answer.
+  it("are never faked when the streams of all groups break", async () => {
     for (const engine of deployment.processNames("engine-")) {
       await deployment.setFault(engine, StreamFault.ResetAlways);
     }
-    const id = freshId();
-    const reply = await sendStreamCall(caller(id));
+    const id = nextId();
+    const reply = await sendStreamCall(briefCall(id));
     expect(reply).to.include({ isWhole: false, wasReset: true });
-    check(reply, id, MAY_RESET);
+    expectAnswer(reply, id, MAY_RESET);
     const buffered = await sendCall({
-      ...caller(freshId()),
+      ...briefCall(nextId()),
       operation: "summarizer/headline",
     });
     expect(buffered.body).to.include({
@@ -162,66 +168,66 @@
     expect(output).to.match(new RegExp(`request=${id} .*outcome=unknown`));
   });
 
-  // The engine that streams is paused by its host, and wakes up later to go on
-  // with an answer that has long been finished by another group.
-  it("are sent though the engine is paused, and later wakes", async () => {
-    const id = freshId();
-    const { reply, leader } = await begin(id);
+  // The streaming engine is paused, and resumes later with an answer that
+  // another group has already finished.
+  it("are sent though the engine is paused, and later resumes", async () => {
+    const id = nextId();
+    const { reply, leader } = await startStream(id);
     deployment.process(leader).signal("SIGSTOP");
-    check(await reply, id);
+    expectAnswer(await reply, id);
     deployment.process(leader).signal("SIGCONT");
     await deployment.waitUntilServing();
-    const next = freshId();
-    check(await sendStreamCall(caller(next)), next);
+    const next = nextId();
+    expectAnswer(await sendStreamCall(briefCall(next)), next);
   });
 
-  // A member other than the one that streams dies: the rest cannot go on.
+  // A member other than the streaming one stops, so its group cannot continue.
   it("are sent though a member is lost during the stream", async () => {
-    const id = freshId();
-    const { reply, leader } = await begin(id);
+    const id = nextId();
+    const { reply, leader } = await startStream(id);
     const other = (await groupOf(leader)).find((name) => name !== leader)!;
     deployment.process(other).signal("SIGSTOP");
-    check(await reply, id);
-    const began = (await deeds(leader)).filter(
+    expectAnswer(await reply, id);
+    const began = (await fetchLogEntries(leader)).filter(
       ({ kind, requestId }) => kind === "began" && requestId === id,
     );
     expect(began).to.have.length(1);
   });
 
-  // Something between daemon and engines has lost track of the connections
-  // open now: they stay silent for good, while new ones work.
+  // A device between daemon and engines loses the state of open connections:
+  // they stay silent forever, while new ones work.
   it("are sent though open connections go silent", async () => {
-    const id = freshId();
-    const { reply } = await begin(id);
+    const id = nextId();
+    const { reply } = await startStream(id);
     for (const engine of deployment.processNames("engine-")) {
       deployment.link(`target>${engine}`).setMode(LinkMode.SilentExisting);
     }
-    const next = freshId();
-    const replies = await Promise.all([reply, sendStreamCall(caller(next))]);
-    check(replies[0], id);
-    check(replies[1], next);
+    const next = nextId();
+    const replies = await Promise.all([reply, sendStreamCall(briefCall(next))]);
+    expectAnswer(replies[0], id);
+    expectAnswer(replies[1], next);
   });
 
-  // The way to one engine goes silent, also for new connections.
-  it("are sent though the way to the engine goes silent", async () => {
-    const id = freshId();
-    const { reply, leader } = await begin(id);
+  // The path to one engine goes silent, also for new connections.
+  it("are sent though the path to the engine goes silent", async () => {
+    const id = nextId();
+    const { reply, leader } = await startStream(id);
     deployment.link(`target>${leader}`).setMode(LinkMode.Silent);
-    check(await reply, id);
+    expectAnswer(await reply, id);
   });
 
-  // The caller hangs up. Its tokens would be made for nobody, in the place of
-  // those that others wait for.
+  // The caller disconnects. Generating its remaining tokens would take capacity
+  // from other callers.
   it("are cancelled at the engine when the caller leaves", async () => {
-    const id = freshId();
-    const leaving = new AbortController();
-    const call = { ...caller(id, 1_000), signal: leaving.signal };
+    const id = nextId();
+    const callerAbort = new AbortController();
+    const call = { ...briefCall(id, 1_000), signal: callerAbort.signal };
     const reply = sendStreamCall(call).catch(() => null);
-    const leader = await leaderOf(id);
-    leaving.abort();
+    const leader = await waitForLeader(id);
+    callerAbort.abort();
     await reply;
     await waitFor("the engine has cancelled it", async () =>
-      (await deeds(leader)).some(
+      (await fetchLogEntries(leader)).some(
         ({ kind, requestId }) => kind === "cancelled" && requestId === id,
       ),
     );
--- a/test/zones_test.ts
+++ b/test/zones_test.ts
@@ -1,7 +1,8 @@
 /**
- * Zones and daemons cut from one another, from the platform and from both;
- * peers' connections that go silent; a daemon that dies and one that returns
- * under its address. Judged by what callers get and what the others see.
+ * Guards against refused calls and wrong membership views when zones or daemons
+ * are cut from their peers, the platform or both, when peer connections go
+ * silent, and when a daemon dies and another starts at its address. Checked by
+ * callers' answers and the other daemons' views.
  */
 import { expect } from "chai";
 import { request } from "undici";
@@ -15,7 +16,7 @@
 const DAEMONS_PER_ZONE = 3;
 const CUT_ZONE = "vn-north-a";
 
-/** Probes a daemon makes in ten to thirty seconds. */
+/** Number of probes that a daemon sends in ten to thirty seconds. */
 const PROBES_OBSERVED = 50;
 
 interface IZoneStatus {
@@ -36,7 +37,7 @@
       enginesPerZone: 4,
       plainService: "delivery-api",
     });
-    await waitForWholeViews();
+    await waitForCompleteViews();
   });
 
   after(() => deployment[Symbol.asyncDispose]());
@@ -59,7 +60,7 @@
     }
   }
 
-  async function waitForWholeViews(): Promise<void> {
+  async function waitForCompleteViews(): Promise<void> {
     await waitForLive(deployment.processNames("daemon-"), DAEMONS_PER_ZONE);
   }
 
@@ -84,7 +85,7 @@
     }
   }
 
-  const timed = async (what: string, wait: Promise<void>) => {
+  const logDuration = async (what: string, wait: Promise<void>) => {
     const started = performance.now();
     await wait;
     const seconds = (performance.now() - started) / 1_000;
@@ -105,51 +106,53 @@
   ];
 
   for (const { name, mode } of CUTS) {
-    // The way from a zone to the platform fails, one way or both. Its lease
-    // lapses, so nothing can be formed anew; but what is formed serves on, and
-    // an editor in that zone notices nothing.
-    it(`a zone whose way to the platform ${name} serves on`, async () => {
+    // The path from a zone to the platform fails in one or both directions. Its
+    // lease expires, so no group can be formed; existing ones must still serve.
+    it(`a zone whose path to the platform ${name} keeps serving`, async () => {
       setMode("platform<", CUT_ZONE, mode);
-      await waitFor("the zone's lease lapses", async () => {
+      await waitFor("the zone's lease expires", async () => {
         const all = await Promise.all(daemonsOf(CUT_ZONE).map(statusOf));
         return all.every(({ domains }) => domains.every((d) => !d.holding));
       });
       await expectServed(deployment.processNames("daemon-"));
       setMode("platform<", CUT_ZONE, LinkMode.Pass);
-      const held = waitFor("the zone's lease is held again", async () => {
-        const all = await Promise.all(daemonsOf(CUT_ZONE).map(statusOf));
-        return all.some(({ domains }) => domains.every((d) => d.holding));
-      });
-      await timed("lease held again after the cut", held);
+      const leaseRegained = waitFor(
+        "the zone's lease is held again",
+        async () => {
+          const all = await Promise.all(daemonsOf(CUT_ZONE).map(statusOf));
+          return all.some(({ domains }) => domains.every((d) => d.holding));
+        },
+      );
+      await logDuration("lease held again after the cut", leaseRegained);
     });
 
-    // Nothing reaches a zone's daemons from their peers, in the zone or out of
-    // it. Each is alone: it must poll every target itself, and serve.
-    it(`daemons whose peers' way ${name} poll alone and serve`, async () => {
+    // A zone's daemons receive nothing from peers in or outside the zone. Each
+    // must poll every target itself, and serve.
+    it(`daemons whose path from peers ${name} poll alone and serve`, async () => {
       setMode("peers>", CUT_ZONE, mode);
-      const alone = waitForLive(daemonsOf(CUT_ZONE), 1);
-      await timed("each alone after the cut", alone);
+      const allAlone = waitForLive(daemonsOf(CUT_ZONE), 1);
+      await logDuration("each daemon alone after the cut", allAlone);
       await expectServed(deployment.processNames("daemon-"));
       setMode("peers>", CUT_ZONE, LinkMode.Pass);
-      await timed("views whole after the cut", waitForWholeViews());
+      await logDuration("views complete after the cut", waitForCompleteViews());
     });
   }
 
-  // A zone loses platform and peers at once. What is in memory must do.
-  it("a zone cut from the platform and from peers serves on", async () => {
+  // A zone loses platform and peers at once, and must serve from its memory.
+  it("a zone cut from the platform and from peers keeps serving", async () => {
     setMode("platform<", CUT_ZONE, LinkMode.Cut);
     setMode("peers>", CUT_ZONE, LinkMode.Cut);
     await waitForLive(daemonsOf(CUT_ZONE), 1);
     await expectServed(deployment.processNames("daemon-"));
     setMode("platform<", CUT_ZONE, LinkMode.Pass);
     setMode("peers>", CUT_ZONE, LinkMode.Pass);
-    await timed("views whole after both cuts", waitForWholeViews());
+    await logDuration("views complete after both cuts", waitForCompleteViews());
   });
 
-  // Something between a zone's daemons forgets their open connections, which stay
-  // open and silent for good, while new ones work. Nobody may be taken for
-  // dead by it: its duties would move, and move back.
-  it("peers change silent connections for new ones", async () => {
+  // A device between a zone's daemons loses the state of open connections: they
+  // stay silent forever, while new ones work. No daemon may be considered dead:
+  // its duties would be reassigned, and then reassigned back.
+  it("peers replace silent connections with new ones", async () => {
     const daemons = daemonsOf(CUT_ZONE);
     const changes = () =>
       daemons.map(
@@ -159,18 +162,18 @@
       );
     const before = changes();
     setMode("peers>", CUT_ZONE, LinkMode.SilentExisting);
-    // Far more probes than a death takes to be known and logged.
+    // Many more probes than the detection and logging of a death take.
     const probes = await probesOf(daemons[1]!);
     await waitFor("many probes", async () => {
       return (await probesOf(daemons[1]!)) >= probes + PROBES_OBSERVED;
     });
-    await waitForWholeViews();
+    await waitForCompleteViews();
     expect(changes()).to.deep.equal(before);
   });
 
-  // An instance dies without a word and is replaced at once under the same
-  // address. The others must drop the old identity and take in the new.
-  it("a dead daemon is dropped, and its successor taken in", async () => {
+  // An instance is killed and replaced at once at the same address. The others
+  // must remove the old identity and add the new one.
+  it("a dead daemon is removed, and its successor added", async () => {
     const [first, second, dead] = daemonsOf(CUT_ZONE) as [
       string,
       string,
@@ -178,11 +181,11 @@
     ];
     const { id } = await statusOf(dead);
     deployment.process(dead).signal("SIGKILL");
-    const known = waitForLive([first, second], DAEMONS_PER_ZONE - 1);
-    await timed("death known in the zone", known);
+    const deathKnown = waitForLive([first, second], DAEMONS_PER_ZONE - 1);
+    await logDuration("death known in the zone", deathKnown);
     await expectServed([first, second]);
     await deployment.startDaemon(dead, CUT_ZONE);
-    await timed("successor known in the zone", waitForWholeViews());
+    await logDuration("successor known in the zone", waitForCompleteViews());
     const { live_daemons: live } = await statusOf(first);
     expect(live).not.to.include(id);
     expect(live).to.include((await statusOf(dead)).id);
