--- a/bench/decisions/cases.ts
+++ b/bench/decisions/cases.ts
@@ -18,7 +18,7 @@
   account: "desk",
   priority: 5,
   promptTokens: 300,
-  askedTokens: 50,
+  requestedTokens: 50,
   deadline: 8_000,
 };
 
@@ -27,7 +27,7 @@
   account: "briefs",
   priority: 5,
   promptTokens: 3_000,
-  askedTokens: 600,
+  requestedTokens: 600,
   deadline: 120_000,
 };
 
--- a/bench/decisions/routing_cost.ts
+++ b/bench/decisions/routing_cost.ts
@@ -14,7 +14,7 @@
   const states = Array.from({ length: targets }, (_, index) => ({
     id: `target-${index}`,
     reported: Math.floor(random() * 8),
-    describes: 0,
+    describedAt: 0,
   }));
   tracker.update({ targets: states, daemons: 1 }, 1_000);
   const work: IWorkItem = {
@@ -22,7 +22,7 @@
     account: "desk",
     priority: 5,
     promptTokens: 300,
-    askedTokens: 50,
+    requestedTokens: 50,
     isCall: false,
     prefix: "prefix",
     arrivedAt: 0,
--- a/bench/decisions/simulation.ts
+++ b/bench/decisions/simulation.ts
@@ -60,7 +60,7 @@
   readonly #random: () => number;
   readonly #policies: readonly IPolicy[];
   readonly #openRequests = new Map<IWorkItem, IOpenRequest>();
-  readonly #reports: { reported: number; describes: number }[];
+  readonly #reports: { reported: number; describedAt: number }[];
 
   constructor(scenario: IScenario, create: (host: IPolicyHost) => IPolicy) {
     this.#scenario = scenario;
@@ -69,7 +69,7 @@
       { length: scenario.targets },
       (_, index) => new SimulatedTarget(`target-${index}`, this.events),
     );
-    this.#reports = this.targets.map(() => ({ reported: 0, describes: 0 }));
+    this.#reports = this.targets.map(() => ({ reported: 0, describedAt: 0 }));
     this.#policies = Array.from({ length: scenario.daemons }, () =>
       create(this.#createHost()),
     );
@@ -105,7 +105,7 @@
 
   #sampleReport(index: number): void {
     const target = this.targets[index] as SimulatedTarget;
-    const sampled = { reported: target.load, describes: this.events.now };
+    const sampled = { reported: target.load, describedAt: this.events.now };
     this.events.scheduleAfter(REPORT_LAG, () => {
       this.#reports[index] = sampled;
     });
@@ -119,7 +119,7 @@
     const isFresh = this.#scenario.freshReports === true;
     const states = this.targets
       .map((target, index) => {
-        const fresh = { reported: target.load, describes: this.events.now };
+        const fresh = { reported: target.load, describedAt: this.events.now };
         const report = isFresh ? fresh : this.#reports[index];
         return { id: target.id, ...(report ?? fresh) };
       })
--- a/bench/decisions/trace.ts
+++ b/bench/decisions/trace.ts
@@ -12,7 +12,7 @@
   readonly account: string;
   readonly priority: number;
   readonly promptTokens: number;
-  readonly askedTokens: number;
+  readonly requestedTokens: number;
   /** Requests per second at a time in milliseconds. */
   readonly rate: (time: number) => number;
   /** Milliseconds after arrival. */
@@ -58,7 +58,7 @@
   time: number,
   random: () => number,
 ): ITraceEntry {
-  const { account, priority, promptTokens, askedTokens, deadline } = flow;
+  const { account, priority, promptTokens, requestedTokens, deadline } = flow;
   const share = SHORTEST_ANSWER + random() * (1 - SHORTEST_ANSWER);
   const prefix = flow.prefixes
     ? `${account}-${Math.floor(random() * flow.prefixes)}`
@@ -69,12 +69,12 @@
       account,
       priority,
       promptTokens,
-      askedTokens,
+      requestedTokens,
       isCall: false,
       prefix,
       arrivedAt: time,
       deadline: time + deadline,
     },
-    tokens: Math.max(1, Math.round(askedTokens * share)),
+    tokens: Math.max(1, Math.round(requestedTokens * share)),
   };
 }
--- a/src/adapters/targets/http_targets.ts
+++ b/src/adapters/targets/http_targets.ts
@@ -38,7 +38,7 @@
   readonly timeout: number;
   readonly signal?: AbortSignal;
   /** Uses a new connection that is closed after the call. */
-  readonly onNewConnection?: boolean;
+  readonly needsNewConnection?: boolean;
 }
 
 /** Calls targets; every call has a limit on the time without any data. */
@@ -106,8 +106,8 @@
     const requestId = this.#wireIds.next(call.requestId);
     const content = JSON.stringify({ requestId, operation, body });
     const timeout = Math.max(SHORTEST_TIMEOUT, call.timeout);
-    const onNewConnection = call.onNewConnection;
-    const sending = { body: content, timeout, signal, onNewConnection };
+    const needsNewConnection = call.needsNewConnection;
+    const sending = { body: content, timeout, signal, needsNewConnection };
     const answer = await this.#post(address, "/call", sending);
     return answer.andThen((value) => checkServiceAnswer(value, requestId));
   }
@@ -166,9 +166,9 @@
     path: string,
     sending: IPostOptions,
   ): Promise<Result<unknown, ICallFailure>> {
-    const { body, timeout, signal, onNewConnection = false } = sending;
+    const { body, timeout, signal, needsNewConnection = false } = sending;
     const attempted = `POST ${path} to ${address}`;
-    const dispatcher = onNewConnection
+    const dispatcher = needsNewConnection
       ? this.#connections.createSingleUse(address)
       : this.#connections.poolFor(address).dispatcher;
     try {
@@ -189,7 +189,7 @@
     } catch (error) {
       return Err(this.#failureOf(error, { attempted, address, dispatcher }));
     } finally {
-      if (onNewConnection) {
+      if (needsNewConnection) {
         void dispatcher.destroy();
       }
     }
--- a/src/common/calls/listed_groups.ts
+++ b/src/common/calls/listed_groups.ts
@@ -4,7 +4,7 @@
  * more.
  */
 import type { IServingGroup } from "./serving_groups.ts";
-import { ListedState, MemberState } from "./types.ts";
+import { ListedState, GroupMemberState } from "./types.ts";
 import type { IEngineProfile, IListedTarget } from "./types.ts";
 
 /** Groups whose head reports open and whose members are all listed. */
@@ -23,7 +23,7 @@
     const { membership, model } = target.engine;
     const isHead =
       membership?.rank === 0 &&
-      membership.state === MemberState.Open &&
+      membership.state === GroupMemberState.Open &&
       target.state === ListedState.Ready;
     const size = engine.models.find(({ name }) => name === model)?.size;
     if (!isHead || model === null || members.get(membership.group) !== size) {
--- a/src/common/calls/model_calls.ts
+++ b/src/common/calls/model_calls.ts
@@ -308,7 +308,7 @@
       this.#parts.sender.send(group.head, call, {
         timeLeft: call.deadline - now,
         lastEventId: run.lastEventId,
-        onNewConnection: false,
+        needsNewConnection: false,
         receiver: run,
       }),
     );
--- a/src/common/calls/model_queue.ts
+++ b/src/common/calls/model_queue.ts
@@ -169,7 +169,7 @@
     account: call.account ?? "",
     priority: urgencyOf(call) * RANKS_PER_PRIORITY + 1,
     promptTokens: call.tokens.prompt,
-    askedTokens: call.tokens.output,
+    requestedTokens: call.tokens.output,
     isCall: false,
     prefix: "",
     arrivedAt: call.arrivedAt,
--- a/src/common/calls/plain_calls.ts
+++ b/src/common/calls/plain_calls.ts
@@ -137,7 +137,7 @@
     send.handle = this.#parts.sender.send(target, this.#call, {
       timeLeft: this.#call.deadline - now,
       lastEventId: this.#call.lastEventId,
-      onNewConnection: !this.#isSafe,
+      needsNewConnection: !this.#isSafe,
       receiver: send,
     });
     this.#scheduleRetry(send, now);
--- a/src/common/calls/plain_calls_test.ts
+++ b/src/common/calls/plain_calls_test.ts
@@ -155,7 +155,7 @@
     harness.submit(UNSAFE);
     harness.submit(SAFE);
     expect(
-      harness.sends.map(({ options }) => options.onNewConnection),
+      harness.sends.map(({ options }) => options.needsNewConnection),
     ).to.deep.equal([true, false]);
   });
 
--- a/src/common/calls/types.ts
+++ b/src/common/calls/types.ts
@@ -139,7 +139,7 @@
 }
 
 /** State of a group's member, as reported by its engine. */
-export enum MemberState {
+export enum GroupMemberState {
   Joining = "joining",
   Ready = "ready",
   Open = "open",
@@ -153,7 +153,7 @@
   readonly epoch: number;
   /** 0 is the head, which receives the requests. */
   readonly rank: number;
-  readonly state: MemberState;
+  readonly state: GroupMemberState;
 }
 
 /** What an engine reports about itself, in the list or in a report. */
@@ -272,7 +272,7 @@
   /** Id of the last event that the caller has; null from the start. */
   readonly lastEventId: string | null;
   /** Whether to open a connection, since a pooled one may have gone dead. */
-  readonly onNewConnection: boolean;
+  readonly needsNewConnection: boolean;
 }
 
 /** Sends calls to targets. */
--- a/src/common/decisions/adaptive_limit.ts
+++ b/src/common/decisions/adaptive_limit.ts
@@ -92,7 +92,7 @@
  */
 export function tokenGapBound(work: IWorkItem): number {
   const available = (work.deadline - work.arrivedAt) * RUN_SHARE;
-  return Math.min(TOKEN_GAP_BOUND, available / work.askedTokens);
+  return Math.min(TOKEN_GAP_BOUND, available / work.requestedTokens);
 }
 
 /** The adaptive limit of one target. */
--- a/src/common/decisions/fair_queue_test.ts
+++ b/src/common/decisions/fair_queue_test.ts
@@ -13,7 +13,7 @@
     account: "desk",
     priority: 5,
     promptTokens: 0,
-    askedTokens: 10,
+    requestedTokens: 10,
     isCall: false,
     prefix: "",
     arrivedAt: 0,
@@ -38,8 +38,8 @@
           ["one", ones],
           ["other", others],
         ] as const) {
-          sizesOfAccount.forEach((askedTokens, index) =>
-            queue.add(makeWork(index, { account, askedTokens })),
+          sizesOfAccount.forEach((requestedTokens, index) =>
+            queue.add(makeWork(index, { account, requestedTokens })),
           );
         }
         const left = { one: ones.length, other: others.length };
@@ -81,7 +81,7 @@
   // Guards against long work taking the slots reserved for short work.
   it("takes only short work while only short slots are free", () => {
     const queue = new FairQueue();
-    queue.add(makeWork(1, { askedTokens: 5_000, deadline: 100 }));
+    queue.add(makeWork(1, { requestedTokens: 5_000, deadline: 100 }));
     queue.add(makeWork(2));
     const shortOnly = { forShort: true, forLong: false };
     expect(queue.take(shortOnly)?.id).to.equal("request-2");
--- a/src/common/decisions/run_time_estimator.ts
+++ b/src/common/decisions/run_time_estimator.ts
@@ -73,7 +73,7 @@
   /** Expected milliseconds from sending the work to its complete answer. */
   estimate(work: IWorkItem): number {
     const tokens = Math.min(
-      work.askedTokens * this.#answerShare,
+      work.requestedTokens * this.#answerShare,
       this.#longestAnswer * ANSWER_LENGTH_FACTOR,
     );
     return this.#firstToken + tokens * this.#tokenGap;
--- a/src/common/decisions/service_scheduler.ts
+++ b/src/common/decisions/service_scheduler.ts
@@ -112,7 +112,7 @@
     now: MonotonicTime,
   ): readonly ScheduleAction[] {
     if (tokens !== null) {
-      this.#runTime.recordAnswer(tokens, work.askedTokens);
+      this.#runTime.recordAnswer(tokens, work.requestedTokens);
     }
     this.#endTrial(work);
     if (this.#started.delete(work) && isLong(work)) {
--- a/src/common/decisions/service_scheduler_test.ts
+++ b/src/common/decisions/service_scheduler_test.ts
@@ -13,7 +13,7 @@
     account,
     priority: 5,
     promptTokens: 10,
-    askedTokens: TOKENS,
+    requestedTokens: TOKENS,
     isCall: false,
     prefix: "",
     arrivedAt: now,
@@ -24,7 +24,7 @@
 /** A scheduler with one target, flooded until its estimate refuses work. */
 function flooded(): { scheduler: ServiceScheduler; now: number } {
   const scheduler = new ServiceScheduler();
-  const targets = [{ id: "only", reported: 0, describes: 0 }];
+  const targets = [{ id: "only", reported: 0, describedAt: 0 }];
   scheduler.updateTargets({ targets, daemons: 1 }, 0);
   let now = 0;
   for (let index = 0; index < 400; index += 1) {
@@ -79,7 +79,7 @@
   // flood raised the estimate.
   it("keeps queued work of an account that is not part of the load", () => {
     const scheduler = new ServiceScheduler();
-    const targets = [{ id: "only", reported: 0, describes: 0 }];
+    const targets = [{ id: "only", reported: 0, describedAt: 0 }];
     scheduler.updateTargets({ targets, daemons: 1 }, 0);
     const started = Array.from({ length: 100 }, (_, index) =>
       makeWork("flood", index, 0),
--- a/src/common/decisions/target_load.ts
+++ b/src/common/decisions/target_load.ts
@@ -47,13 +47,13 @@
    * Updates the load from a report.
    *
    * @param reported Requests running and queued at the target.
-   * @param describes The time the report describes, on this daemon's clock.
+   * @param describedAt The time the report describedAt, on this daemon's clock.
    */
-  update(reported: number, describes: MonotonicTime): void {
+  update(reported: number, describedAt: MonotonicTime): void {
     let ownAtReport = this.#own;
     for (let index = this.#changes.length - 1; index >= 0; index--) {
       const change = this.#changes[index];
-      if (change === undefined || change.at <= describes) {
+      if (change === undefined || change.at <= describedAt) {
         break;
       }
       ownAtReport -= change.by;
--- a/src/common/decisions/target_tracker.ts
+++ b/src/common/decisions/target_tracker.ts
@@ -30,7 +30,7 @@
   /** Requests running and queued at the target. */
   readonly reported: number;
   /** The time the report describes, on this daemon's clock. */
-  readonly describes: MonotonicTime;
+  readonly describedAt: MonotonicTime;
 }
 
 /** The targets of a service at one moment. */
@@ -97,8 +97,8 @@
     const { targets, daemons } = update;
     this.#daemons = daemons;
     this.#available = targets.map(({ id }) => this.#trackedOf(id));
-    for (const { id, reported, describes } of targets) {
-      this.#trackedOf(id).update(reported, describes, daemons);
+    for (const { id, reported, describedAt } of targets) {
+      this.#trackedOf(id).update(reported, describedAt, daemons);
     }
     this.#recordOverdue(now);
     if (now - this.#comparedAt >= COMPARE_EVERY) {
--- a/src/common/decisions/tracked_target.ts
+++ b/src/common/decisions/tracked_target.ts
@@ -71,9 +71,9 @@
   /**
    * Updates the load from a report, and the number of daemons that send there.
    */
-  update(reported: number, describes: MonotonicTime, daemons: number): void {
+  update(reported: number, describedAt: MonotonicTime, daemons: number): void {
     this.#daemons = daemons;
-    this.#load.update(reported, describes);
+    this.#load.update(reported, describedAt);
     this.adaptiveLimit.recordLoad(this.load);
   }
 
--- a/src/common/decisions/work_item.ts
+++ b/src/common/decisions/work_item.ts
@@ -18,7 +18,7 @@
   readonly priority: number;
   readonly promptTokens: number;
   /** Maximum tokens of the answer. */
-  readonly askedTokens: number;
+  readonly requestedTokens: number;
   /** Whether it is a plain call, answered at once and not as tokens. */
   readonly isCall: boolean;
   /** Equal for prompts with the same beginning; empty when unknown. */
@@ -30,10 +30,10 @@
 
 /** Estimated cost of work in generated tokens. */
 export function costOf(work: IWorkItem): number {
-  return work.askedTokens + work.promptTokens * PROMPT_TOKEN_COST;
+  return work.requestedTokens + work.promptTokens * PROMPT_TOKEN_COST;
 }
 
 /** Whether work occupies its slot for a long time. */
 export function isLong(work: IWorkItem): boolean {
-  return work.askedTokens >= LONG_WORK_TOKENS;
+  return work.requestedTokens >= LONG_WORK_TOKENS;
 }
--- a/src/common/groups/formation_test.ts
+++ b/src/common/groups/formation_test.ts
@@ -15,7 +15,7 @@
   replaceAfter: 4_000,
   holdAfterLoss: 10_000,
   longestHold: 60_000,
-  forgetHalf: 120_000,
+  halfLife: 120_000,
 };
 const POLICY: IFormationPolicy = {
   membersPerGroup: 4,
--- a/src/common/groups/member_monitor.ts
+++ b/src/common/groups/member_monitor.ts
@@ -30,8 +30,8 @@
   readonly holdAfterLoss: number;
   /** Longest hold, however often it was lost. */
   readonly longestHold: number;
-  /** Half-life of the count of past losses. */
-  readonly forgetHalf: number;
+  /** Half-life of the count of past losses, milliseconds. */
+  readonly halfLife: number;
 }
 
 interface ILossHistory {
@@ -128,6 +128,6 @@
     if (losses === undefined) {
       return 0;
     }
-    return losses.count * 0.5 ** ((now - losses.at) / this.#policy.forgetHalf);
+    return losses.count * 0.5 ** ((now - losses.at) / this.#policy.halfLife);
   }
 }
--- a/src/common/groups/orders.ts
+++ b/src/common/groups/orders.ts
@@ -15,7 +15,7 @@
 import type { IDomainRecord, IReplicaGroup } from "./types.ts";
 
 /** An order and the instance to send it to. */
-export interface IAddressedOrder {
+export interface IInstanceOrder {
   readonly instance: InstanceId;
   readonly address: string;
   readonly order: IEngineOrder;
@@ -51,7 +51,7 @@
   record: IDomainRecord,
   view: IFormationView,
   policy: IFormationPolicy,
-): readonly IAddressedOrder[] {
+): readonly IInstanceOrder[] {
   const addresses = new Map(
     view.instances.map((instance) => [instance.id, instance.address]),
   );
@@ -62,9 +62,9 @@
 /**
  * Join orders, then load orders for spares within the remaining load budget.
  */
-function planJoinsAndLoads(context: IOrderContext): readonly IAddressedOrder[] {
+function planJoinsAndLoads(context: IOrderContext): readonly IInstanceOrder[] {
   let budget = context.policy.concurrentLoads - countLoading(context);
-  const orders: IAddressedOrder[] = [];
+  const orders: IInstanceOrder[] = [];
   for (const group of byUrgency(context)) {
     for (const member of missingMembers(group, context)) {
       const isLoad = needsLoad(member, group, context);
@@ -83,11 +83,11 @@
  * they are needed, since the load is by far the longest part of a group's
  * downtime.
  */
-function planSpareLoads(context: IOrderContext): readonly IAddressedOrder[] {
+function planSpareLoads(context: IOrderContext): readonly IInstanceOrder[] {
   const { record, view, policy, addresses } = context;
   const model = mostCommonModel(record);
   const assigned = new Set(record.groups.flatMap((group) => group.members));
-  const orders: IAddressedOrder[] = [];
+  const orders: IInstanceOrder[] = [];
   for (const [instance, address] of addresses) {
     const report = view.reports.get(instance)?.report;
     const isCold =
@@ -190,7 +190,7 @@
   instance: InstanceId,
   group: IReplicaGroup,
   context: IOrderContext,
-): readonly IAddressedOrder[] {
+): readonly IInstanceOrder[] {
   const { addresses, record, policy } = context;
   const address = addresses.get(instance);
   const members = group.members.map((id) => addresses.get(id) ?? "");
@@ -214,10 +214,10 @@
  * Release orders for engines that report a group but are in no group of the
  * record.
  */
-function planReleases(context: IOrderContext): readonly IAddressedOrder[] {
+function planReleases(context: IOrderContext): readonly IInstanceOrder[] {
   const { record, view, policy, addresses } = context;
   const assigned = new Set(record.groups.flatMap((group) => group.members));
-  const orders: IAddressedOrder[] = [];
+  const orders: IInstanceOrder[] = [];
   for (const [instance, address] of addresses) {
     const membership = view.reports.get(instance)?.report.membership;
     if (
--- a/src/common/replicas/domain_summary.ts
+++ b/src/common/replicas/domain_summary.ts
@@ -1,7 +1,7 @@
 /** Summarizes the state of each fabric domain for the log. */
 import type { DomainName, InstanceId } from "../types.ts";
 import type { IEngineView } from "./engine_registry.ts";
-import type { IReplicaGroup } from "./replica_group.ts";
+import type { IManagedGroup } from "./replica_group.ts";
 
 /** State of one domain. */
 export interface IDomainSummary {
@@ -21,7 +21,7 @@
 }
 
 export function summarizeDomains(
-  groups: readonly IReplicaGroup[],
+  groups: readonly IManagedGroup[],
   free: readonly IEngineView[],
   states: IInstanceStates,
 ): readonly IDomainSummary[] {
--- a/src/common/replicas/engine_monitor.ts
+++ b/src/common/replicas/engine_monitor.ts
@@ -9,7 +9,7 @@
 import type { IEngineView } from "./engine_registry.ts";
 import type { EngineViews } from "./group_controller.ts";
 import { GroupPhase } from "./replica_group.ts";
-import type { IReplicaGroup } from "./replica_group.ts";
+import type { IManagedGroup } from "./replica_group.ts";
 import type { IEngineClient } from "./types.ts";
 
 /**
@@ -103,7 +103,7 @@
   }
 
   /** Applies the platform's list and polls the engines that are due. */
-  poll(groups: readonly IReplicaGroup[], now: MonotonicTime): void {
+  poll(groups: readonly IManagedGroup[], now: MonotonicTime): void {
     const targets = this.#parts.listedTargets();
     if (targets.length > this.#listSize) {
       this.#listGrewAt = now;
@@ -132,7 +132,7 @@
     return isComplete;
   }
 
-  #requestReports(groups: readonly IReplicaGroup[], now: MonotonicTime): void {
+  #requestReports(groups: readonly IManagedGroup[], now: MonotonicTime): void {
     const busy = this.#busyEngines(groups);
     for (const [id, view] of this.#registry.views) {
       // A head that the platform has dropped may still answer.
@@ -170,7 +170,7 @@
   }
 
   /** Engines of groups that change or are suspected. */
-  #busyEngines(groups: readonly IReplicaGroup[]): ReadonlySet<InstanceId> {
+  #busyEngines(groups: readonly IManagedGroup[]): ReadonlySet<InstanceId> {
     const busy = new Set<InstanceId>();
     for (const { phase, plan, head } of groups) {
       const isChanging =
--- a/src/common/replicas/group_adoption.ts
+++ b/src/common/replicas/group_adoption.ts
@@ -6,7 +6,7 @@
  * abandoned at once, its streams would be interrupted for nothing, so it is
  * given a short time.
  */
-import { MemberState } from "../calls/types.ts";
+import { GroupMemberState } from "../calls/types.ts";
 import type { IMembership, IModel } from "../calls/types.ts";
 import type { MonotonicTime } from "../types.ts";
 import type { IEngineView } from "./engine_registry.ts";
@@ -103,7 +103,7 @@
         members: sorted,
         isComplete,
         hasHead: rankOf(first) === 0,
-        isOpen: membership.state === MemberState.Open,
+        isOpen: membership.state === GroupMemberState.Open,
       },
     ];
   }
--- a/src/common/replicas/group_controller.ts
+++ b/src/common/replicas/group_controller.ts
@@ -10,7 +10,7 @@
  * its requests stall. A group opens only when each member has its weights;
  * otherwise it answers from a partly loaded model.
  */
-import { MemberState } from "../calls/types.ts";
+import { GroupMemberState } from "../calls/types.ts";
 import type { IMembership, IModel } from "../calls/types.ts";
 import type { InstanceId, MonotonicTime } from "../types.ts";
 import type { IEngineView } from "./engine_registry.ts";
@@ -23,7 +23,7 @@
   membershipIn,
   troubleOf,
 } from "./replica_group.ts";
-import type { IReplicaGroup } from "./replica_group.ts";
+import type { IManagedGroup } from "./replica_group.ts";
 import { OrderKind } from "./types.ts";
 import type { EngineOrder, IGroupPlan } from "./types.ts";
 
@@ -81,7 +81,7 @@
 
 /** A phase change of a group, for the log. */
 export interface IGroupChange {
-  readonly group: IReplicaGroup;
+  readonly group: IManagedGroup;
   readonly from: GroupPhase | null;
   /** Null once the group is removed. */
   readonly to: GroupPhase | null;
@@ -89,7 +89,7 @@
 
 /** Controls the replica groups of one service. */
 export class GroupController {
-  readonly #groups = new Map<string, IReplicaGroup>();
+  readonly #groups = new Map<string, IManagedGroup>();
   readonly #adoption: GroupAdoption;
   readonly #times: IGroupTiming;
   readonly #findModel: (name: string) => IModel | null;
@@ -109,7 +109,7 @@
     });
   }
 
-  get groups(): readonly IReplicaGroup[] {
+  get groups(): readonly IManagedGroup[] {
     return [...this.#groups.values()];
   }
 
@@ -249,7 +249,7 @@
   }
 
   #updatePhase(
-    group: IReplicaGroup,
+    group: IManagedGroup,
     views: EngineViews,
     now: MonotonicTime,
   ): void {
@@ -280,12 +280,12 @@
   }
 
   #updateOpening(
-    group: IReplicaGroup,
+    group: IManagedGroup,
     views: EngineViews,
     now: MonotonicTime,
   ): void {
     const head = views.get(group.head ?? "");
-    const isOpen = membershipIn(group, head)?.state === MemberState.Open;
+    const isOpen = membershipIn(group, head)?.state === GroupMemberState.Open;
     // Reports show the open state later, by their lag and period.
     const openTime = this.#times.openTime();
     const isDue = group.openedAt !== null && now - group.openedAt >= openTime;
@@ -295,7 +295,7 @@
   }
 
   #updateForming(
-    group: IReplicaGroup,
+    group: IManagedGroup,
     views: EngineViews,
     now: MonotonicTime,
   ): void {
@@ -311,19 +311,19 @@
   }
 
   #updateClosing(
-    group: IReplicaGroup,
+    group: IManagedGroup,
     views: EngineViews,
     now: MonotonicTime,
   ): void {
     const state = membershipIn(group, views.get(group.head ?? ""))?.state;
-    const isIdle = state === MemberState.Ready;
+    const isIdle = state === GroupMemberState.Ready;
     if (isIdle || now - group.phaseSince > MAX_CLOSING_TIME) {
       const trouble = group.trouble ?? GroupTrouble.MemberDraining;
       this.#dissolve(group, trouble, now);
     }
   }
 
-  #troubleOf(group: IReplicaGroup, views: EngineViews): GroupTrouble | null {
+  #troubleOf(group: IManagedGroup, views: EngineViews): GroupTrouble | null {
     let draining: GroupTrouble | null = null;
     for (const member of group.plan.members) {
       const view = views.get(member);
@@ -346,7 +346,7 @@
    * is silent and no longer listed.
    */
   #isHeadReleased(
-    group: IReplicaGroup,
+    group: IManagedGroup,
     views: EngineViews,
     now: MonotonicTime,
   ): boolean {
@@ -361,8 +361,8 @@
     }
     const hasReported = head.askedAt > group.phaseSince + this.#maxReportLag;
     if (hasReported) {
-      const membership = membershipIn(group, head);
-      return membership === null || membership.state === MemberState.Broken;
+      const member = membershipIn(group, head);
+      return member === null || member.state === GroupMemberState.Broken;
     }
     // The platform has dropped it after missed heartbeats, and it does not
     // answer this process either: it has ended.
@@ -370,7 +370,7 @@
   }
 
   #ordersFor(
-    group: IReplicaGroup,
+    group: IManagedGroup,
     views: EngineViews,
   ): readonly IAddressedOrder[] {
     const { plan, head } = group;
@@ -384,7 +384,7 @@
         return addressed(head, { kind: OrderKind.Open, group: name, epoch });
       case GroupPhase.Closing:
         return membershipIn(group, views.get(head ?? ""))?.state ===
-          MemberState.Open
+          GroupMemberState.Open
           ? addressed(head, { kind: OrderKind.Close, group: name, epoch })
           : [];
       case GroupPhase.Dissolving:
@@ -430,7 +430,8 @@
    * report from before the release says nothing about that.
    */
   #isKnown({ group, state }: IMembership, askedAt: MonotonicTime): boolean {
-    const isOpen = state === MemberState.Open || state === MemberState.Closing;
+    const isOpen =
+      state === GroupMemberState.Open || state === GroupMemberState.Closing;
     const releasedAt = this.#releasedAt.get(group);
     const isOld =
       releasedAt !== undefined && askedAt <= releasedAt + this.#maxReportLag;
@@ -458,7 +459,7 @@
     plan: IGroupPlan,
     views: EngineViews,
     state: { readonly phase: GroupPhase; readonly now: MonotonicTime },
-  ): IReplicaGroup {
+  ): IManagedGroup {
     const starts = new Map<InstanceId, number>();
     for (const member of plan.members) {
       starts.set(member, views.get(member)?.startedAt ?? 0);
@@ -478,13 +479,13 @@
     };
   }
 
-  #add(group: IReplicaGroup): void {
+  #add(group: IManagedGroup): void {
     this.#groups.set(group.plan.group, group);
     this.#changes.push({ group, from: null, to: group.phase });
   }
 
   #dissolve(
-    group: IReplicaGroup,
+    group: IManagedGroup,
     trouble: GroupTrouble,
     now: MonotonicTime,
   ): void {
@@ -492,7 +493,7 @@
     this.#setPhase(group, GroupPhase.Dissolving, now);
   }
 
-  #setPhase(group: IReplicaGroup, phase: GroupPhase, now: MonotonicTime): void {
+  #setPhase(group: IManagedGroup, phase: GroupPhase, now: MonotonicTime): void {
     if (group.phase !== phase) {
       this.#changes.push({ group, from: group.phase, to: phase });
       group.phase = phase;
--- a/src/common/replicas/group_controller_test.ts
+++ b/src/common/replicas/group_controller_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { MemberState } from "../calls/types.ts";
+import { GroupMemberState } from "../calls/types.ts";
 import type { IEngineView } from "./engine_registry.ts";
 import { GroupController, warmGroupName } from "./group_controller.ts";
 import type { IAddressedOrder } from "./group_controller.ts";
@@ -42,7 +42,7 @@
 /** Views of both members at one moment. */
 function members(
   askedAt: number,
-  state: MemberState = MemberState.Ready,
+  state: GroupMemberState = GroupMemberState.Ready,
   tail: Partial<IEngineView> = {},
 ): ReadonlyMap<string, IEngineView> {
   return viewsOf(
@@ -59,7 +59,7 @@
   controller.handleJoined(PLAN.group, "head", 10);
   controller.handleJoined(PLAN.group, "tail", 10);
   controller.reconcile(members(500), 500);
-  controller.reconcile(members(900, MemberState.Open), 1_000);
+  controller.reconcile(members(900, GroupMemberState.Open), 1_000);
   return controller;
 }
 
@@ -77,8 +77,8 @@
     ]);
     controller.handleJoined(PLAN.group, "head", 10);
     controller.handleJoined(PLAN.group, "tail", 10);
-    const joining = { state: memberOf(PLAN, 1, MemberState.Joining) };
-    const notYet = members(500, MemberState.Ready, joining);
+    const joining = { state: memberOf(PLAN, 1, GroupMemberState.Joining) };
+    const notYet = members(500, GroupMemberState.Ready, joining);
     expect(kinds(controller.reconcile(notYet, 500))).to.deep.equal([]);
     expect(kinds(controller.reconcile(members(600), 600))).to.deep.equal([
       "open head",
@@ -115,14 +115,14 @@
   it("closes a group gracefully when a member leaves the list but answers", () => {
     const controller = servingController();
     const leaving = { isListed: false };
-    const views = members(1_100, MemberState.Open, {
+    const views = members(1_100, GroupMemberState.Open, {
       state: memberOf(PLAN, 1),
       ...leaving,
     });
     controller.reconcile(views, 1_200);
     expect(phases(controller)).to.deep.equal([GroupPhase.Closing]);
     const gone = { state: memberOf(PLAN, 1), isSilent: true, ...leaving };
-    controller.reconcile(members(1_300, MemberState.Open, gone), 1_400);
+    controller.reconcile(members(1_300, GroupMemberState.Open, gone), 1_400);
     expect(phases(controller)).to.deep.equal([GroupPhase.Dissolving]);
   });
 
@@ -131,7 +131,7 @@
   it("frees the other members only when the head has left", () => {
     const controller = servingController();
     const lost = { isSilent: true };
-    const views = members(1_500, MemberState.Open, lost);
+    const views = members(1_500, GroupMemberState.Open, lost);
     expect(kinds(controller.reconcile(views, 1_500))).to.deep.equal([
       "leave head",
     ]);
@@ -147,7 +147,7 @@
   it("waits for the platform to drop an unresponsive head", () => {
     const controller = servingController();
     const silent = engineView("head", {
-      state: memberOf(PLAN, 0, MemberState.Open),
+      state: memberOf(PLAN, 0, GroupMemberState.Open),
       askedAt: 1_000,
       isSilent: true,
     });
@@ -163,7 +163,7 @@
   // successor knows none of them.
   it("adopts existing groups", () => {
     const controller = newController();
-    const views = members(100, MemberState.Open);
+    const views = members(100, GroupMemberState.Open);
     expect(kinds(controller.reconcile(views, 100))).to.deep.equal([]);
     expect(phases(controller)).to.deep.equal([GroupPhase.Serving]);
   });
@@ -172,7 +172,7 @@
   // while the lease changed hands.
   it("dissolves an adopted group that is incomplete", () => {
     const controller = newController();
-    const state = memberOf(PLAN, 0, MemberState.Open);
+    const state = memberOf(PLAN, 0, GroupMemberState.Open);
     const views = viewsOf(engineView("head", { state, askedAt: 100 }));
     expect(kinds(controller.reconcile(views, 100))).to.deep.equal([
       "leave head",
@@ -207,11 +207,11 @@
   it("adopts a released group again that opens late", () => {
     const controller = servingController();
     const lost = { isSilent: true };
-    controller.reconcile(members(1_500, MemberState.Open, lost), 1_500);
+    controller.reconcile(members(1_500, GroupMemberState.Open, lost), 1_500);
     controller.handleLeft(PLAN.group);
-    controller.reconcile(members(1_600, MemberState.Ready, lost), 1_600);
+    controller.reconcile(members(1_600, GroupMemberState.Ready, lost), 1_600);
     expect(controller.groups).to.deep.equal([]);
-    const late = members(3_000, MemberState.Open, lost);
+    const late = members(3_000, GroupMemberState.Open, lost);
     expect(kinds(controller.reconcile(late, 3_000))).to.deep.equal([
       "leave head",
     ]);
@@ -228,7 +228,7 @@
     const alone = viewsOf(tail, unreported);
     expect(kinds(controller.reconcile(alone, 100))).to.deep.equal([]);
     expect(controller.freeEngines(alone)).to.deep.equal([]);
-    controller.reconcile(members(600, MemberState.Open), 600);
+    controller.reconcile(members(600, GroupMemberState.Open), 600);
     expect(phases(controller)).to.deep.equal([GroupPhase.Serving]);
   });
 
@@ -237,7 +237,7 @@
   // second more.
   it("does not wait for a member that has ended", () => {
     const controller = newController();
-    const state = memberOf(PLAN, 0, MemberState.Open);
+    const state = memberOf(PLAN, 0, GroupMemberState.Open);
     const views = viewsOf(
       engineView("head", { state, askedAt: 100 }),
       engineView("tail", { state: null, isSilent: true }),
@@ -251,7 +251,7 @@
   // changed hands, and one member's zone cannot be reached from the new holder.
   it("waits for a member whose zone is unreachable", () => {
     const controller = newController();
-    const state = memberOf(PLAN, 0, MemberState.Open);
+    const state = memberOf(PLAN, 0, GroupMemberState.Open);
     const lost = { state: null, isSilent: true, isUnreachable: true };
     const views = viewsOf(
       engineView("head", { state, askedAt: 100 }),
@@ -267,7 +267,7 @@
     const tail = engineView("tail", { state: memberOf(PLAN, 1), askedAt: 100 });
     controller.reconcile(viewsOf(tail), 100);
     expect(phases(controller)).to.deep.equal([GroupPhase.Dissolving]);
-    const both = members(600, MemberState.Open);
+    const both = members(600, GroupMemberState.Open);
     expect(controller.freeEngines(both)).to.deep.equal([]);
     controller.reconcile(both, 600);
     expect(phases(controller)).to.deep.equal([GroupPhase.Serving]);
@@ -278,7 +278,10 @@
   it("dissolves a group when a member has restarted", () => {
     const controller = servingController();
     const restarted = { state: engineState(), startedAt: 2 };
-    controller.reconcile(members(1_500, MemberState.Open, restarted), 1_500);
+    controller.reconcile(
+      members(1_500, GroupMemberState.Open, restarted),
+      1_500,
+    );
     expect(phases(controller)).to.deep.equal([GroupPhase.Dissolving]);
   });
 
@@ -286,7 +289,7 @@
   // ended while open, and its last report keeps saying so.
   it("ignores the last report of a head that has ended", () => {
     const controller = servingController();
-    const state = memberOf(PLAN, 0, MemberState.Open);
+    const state = memberOf(PLAN, 0, GroupMemberState.Open);
     const gone = { state, askedAt: 900, isSilent: true, isListed: false };
     const tail = engineView("tail", { state: memberOf(PLAN, 1) });
     const views = viewsOf(engineView("head", gone), tail);
@@ -302,11 +305,11 @@
 
   it("closes a group gracefully when a member is draining", () => {
     const controller = servingController();
-    const views = members(1_500, MemberState.Open, { isDraining: true });
+    const views = members(1_500, GroupMemberState.Open, { isDraining: true });
     const orders = controller.reconcile(views, 1_500);
     expect(kinds(orders)).to.deep.equal(["close head"]);
     expect(phases(controller)).to.deep.equal([GroupPhase.Closing]);
-    const idle = members(1_900, MemberState.Ready, { isDraining: true });
+    const idle = members(1_900, GroupMemberState.Ready, { isDraining: true });
     const after = controller.reconcile(idle, 1_900);
     expect(after.map(({ order }) => order.kind)).to.deep.equal([
       OrderKind.Leave,
--- a/src/common/replicas/model_readiness.ts
+++ b/src/common/replicas/model_readiness.ts
@@ -1,5 +1,5 @@
 /** Instances and the models they hold, as the planner sees them. */
-import { MemberState } from "../calls/types.ts";
+import { GroupMemberState } from "../calls/types.ts";
 import type { IModel } from "../calls/types.ts";
 import type { DomainName } from "../types.ts";
 import type { IEngineView } from "./engine_registry.ts";
@@ -55,7 +55,7 @@
   }
   const membership = view.state?.membership ?? null;
   const isLoaded = membership !== null && view.state?.model === loaded;
-  const isJoining = membership?.state === MemberState.Joining;
+  const isJoining = membership?.state === GroupMemberState.Joining;
   return loaded !== null && (isJoining || (membership !== null && !isLoaded));
 }
 
--- a/src/common/replicas/plan_groups_test.ts
+++ b/src/common/replicas/plan_groups_test.ts
@@ -1,5 +1,5 @@
 import { expect } from "chai";
-import { MemberState } from "../calls/types.ts";
+import { GroupMemberState } from "../calls/types.ts";
 import { planGroups } from "./plan_groups.ts";
 import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
 import type { IPlanningInput } from "./plan_groups.ts";
@@ -219,7 +219,12 @@
   // host keeps one model, so whichever load ends last evicts the other.
   it("stages a second model only when the first is loaded", () => {
     const state = engineState({
-      membership: { group: "g", epoch: 1, rank: 0, state: MemberState.Joining },
+      membership: {
+        group: "g",
+        epoch: 1,
+        rank: 0,
+        state: GroupMemberState.Joining,
+      },
     });
     const view = engineView("spare", { state });
     const joining = { view, loaded: "small", isUnconfirmed: false };
--- a/src/common/replicas/replica_group.ts
+++ b/src/common/replicas/replica_group.ts
@@ -2,7 +2,7 @@
  * One replica group from the first order to join until its members are free:
  * what is known of its members, and what is wrong with them.
  */
-import { MemberState } from "../calls/types.ts";
+import { GroupMemberState } from "../calls/types.ts";
 import type { IMembership } from "../calls/types.ts";
 import type { DomainName, InstanceId, MonotonicTime } from "../types.ts";
 import type { IEngineView } from "./engine_registry.ts";
@@ -42,7 +42,7 @@
 }
 
 /** A group as managed by the lease holder. */
-export interface IReplicaGroup {
+export interface IManagedGroup {
   readonly plan: IGroupPlan;
   readonly domain: DomainName;
   /** Start of each member's process, calendar milliseconds, as of the plan. */
@@ -62,7 +62,7 @@
 
 /** Returns the membership that an engine reports, if it is of this group. */
 export function membershipIn(
-  group: IReplicaGroup,
+  group: IManagedGroup,
   view: IEngineView | undefined,
 ): IMembership | null {
   const membership = view?.state?.membership ?? null;
@@ -76,7 +76,7 @@
 
 /** Whether a report requested after a member joined shows it as ready. */
 export function isReady(
-  group: IReplicaGroup,
+  group: IManagedGroup,
   member: InstanceId,
   view: IEngineView | undefined,
 ): boolean {
@@ -86,7 +86,7 @@
     view !== undefined &&
     joinedAt !== undefined &&
     view.askedAt >= joinedAt &&
-    (state === MemberState.Ready || state === MemberState.Open)
+    (state === GroupMemberState.Ready || state === GroupMemberState.Open)
   );
 }
 
@@ -97,7 +97,7 @@
  *   just after the order to join may not show it yet
  */
 export function troubleOf(
-  group: IReplicaGroup,
+  group: IManagedGroup,
   member: InstanceId,
   seen: {
     readonly view: IEngineView | undefined;
@@ -123,7 +123,7 @@
   if (hasReported && membershipIn(group, view) === null) {
     return GroupTrouble.MemberElsewhere;
   }
-  if (membershipIn(group, view)?.state === MemberState.Broken) {
+  if (membershipIn(group, view)?.state === GroupMemberState.Broken) {
     return GroupTrouble.HeadBroken;
   }
   // A member that leaves the list but answers keeps serving for a while. If its
--- a/src/common/replicas/replica_service.ts
+++ b/src/common/replicas/replica_service.ts
@@ -29,7 +29,7 @@
 import { planGroups } from "./plan_groups.ts";
 import type { IPlannerEngine, IPlannerGroup } from "./model_readiness.ts";
 import { GroupPhase, GroupTrouble } from "./replica_group.ts";
-import type { IReplicaGroup } from "./replica_group.ts";
+import type { IManagedGroup } from "./replica_group.ts";
 import { findGroupsToReplace, findSlowEngines } from "./slow_engines.ts";
 import { buildServingTable } from "./serving_table.ts";
 import { StagingTracker } from "./staging_tracker.ts";
@@ -255,7 +255,7 @@
   }
 
   #plannerGroup(
-    { plan, domain, phase }: IReplicaGroup,
+    { plan, domain, phase }: IManagedGroup,
     views: EngineViews,
   ): IPlannerGroup {
     return {
--- a/src/common/replicas/serving_table.ts
+++ b/src/common/replicas/serving_table.ts
@@ -5,7 +5,7 @@
 import type { ServiceName } from "../types.ts";
 import type { EngineViews } from "./group_controller.ts";
 import { GroupPhase } from "./replica_group.ts";
-import type { IReplicaGroup } from "./replica_group.ts";
+import type { IManagedGroup } from "./replica_group.ts";
 
 /** Values that all groups of the table share. */
 export interface IServingTableOptions {
@@ -17,7 +17,7 @@
  * Includes serving groups, and those that only finish their running requests.
  */
 export function buildServingTable(
-  groups: readonly IReplicaGroup[],
+  groups: readonly IManagedGroup[],
   views: EngineViews,
   options: IServingTableOptions,
 ): readonly IServingGroup[] {
@@ -25,7 +25,7 @@
 }
 
 function entryOf(
-  { plan, head, phase }: IReplicaGroup,
+  { plan, head, phase }: IManagedGroup,
   views: EngineViews,
   { service, slots }: IServingTableOptions,
 ): readonly IServingGroup[] {
--- a/src/common/services/admission_service.ts
+++ b/src/common/services/admission_service.ts
@@ -55,7 +55,7 @@
   /** Resolves when the request may run, or with a refusal. */
   async admit(request: ICallerRequest): Promise<IAdmission | IRefusal> {
     const work = workOf(request);
-    const requested = work.isCall ? 0 : work.askedTokens;
+    const requested = work.isCall ? 0 : work.requestedTokens;
     const { plan } = request.account;
     const accountAdmission = this.#accountOf(work.account);
     const planRefusal = accountAdmission.admit(
--- a/src/common/services/at_most_once_runner.ts
+++ b/src/common/services/at_most_once_runner.ts
@@ -142,7 +142,7 @@
       operation: operation.name,
       body,
       timeout,
-      onNewConnection: true,
+      needsNewConnection: true,
     };
     try {
       const neverAborted = new AbortController().signal;
--- a/src/common/services/domain_controller.ts
+++ b/src/common/services/domain_controller.ts
@@ -66,7 +66,7 @@
   readonly domain: DomainName;
   readonly lease: ILeaseTiming;
   readonly formation: IFormationPolicy;
-  readonly watch: IMemberMonitorPolicy;
+  readonly memberMonitor: IMemberMonitorPolicy;
   /** How often an observer reads the record, milliseconds. */
   readonly observeEvery: number;
   /** Groups that the domain should have. */
@@ -93,7 +93,7 @@
       options.domain,
       options.lease,
     );
-    this.#memberMonitor = new MemberMonitor(options.watch);
+    this.#memberMonitor = new MemberMonitor(options.memberMonitor);
     this.#orders = new OrderSender(ports, () =>
       this.#lease.mayOrder(ports.clock.now()),
     );
--- a/src/common/services/group_directory.ts
+++ b/src/common/services/group_directory.ts
@@ -158,8 +158,12 @@
       const seen = this.#sources.targets.reports.get(instance.id);
       if (seen !== undefined) {
         const { running, queued, lag } = seen.report;
-        const describes = seen.seenAt - lag;
-        targets.push({ id, reported: running + queued, describes });
+        const describedAt = seen.seenAt - lag;
+        targets.push({
+          id,
+          reported: running + queued,
+          describedAt,
+        });
       }
     }
     const reports: ITargetsUpdate = { targets, daemons: live.inZone.length };
--- a/src/common/services/order_sender.ts
+++ b/src/common/services/order_sender.ts
@@ -5,7 +5,7 @@
  * next holder's, and an engine that ignores fencing tokens would obey it. The
  * sender therefore tracks until when its orders can still take effect.
  */
-import type { IAddressedOrder } from "../groups/orders.ts";
+import type { IInstanceOrder } from "../groups/orders.ts";
 import { CallFailureKind } from "../types.ts";
 import type { InstanceId, MonotonicTime } from "../types.ts";
 import type { IClock, ILog, ITargets } from "./services.ts";
@@ -38,7 +38,7 @@
   }
 
   /** Sends an order, unless one to the same instance is in flight. */
-  send(addressed: IAddressedOrder): void {
+  send(addressed: IInstanceOrder): void {
     const { instance } = addressed;
     if (this.#inFlight.has(instance)) {
       return;
@@ -61,7 +61,7 @@
     }
   }
 
-  async #send({ instance, address, order }: IAddressedOrder): Promise<void> {
+  async #send({ instance, address, order }: IInstanceOrder): Promise<void> {
     const { clock, log, targets } = this.#ports;
     const answer = await targets.order(address, order, {
       timeout: order.validFor,
--- a/src/common/services/plain_service_runner.ts
+++ b/src/common/services/plain_service_runner.ts
@@ -91,7 +91,7 @@
       operation: operation.name,
       body,
       timeout: Math.min(remaining, RESPONSE_TIMEOUT),
-      onNewConnection: false,
+      needsNewConnection: false,
     };
     try {
       const { signal } = request;
--- a/src/common/services/services.ts
+++ b/src/common/services/services.ts
@@ -208,7 +208,7 @@
    * Whether to open a new connection: an existing one may be dead, and a
    * request that must not be sent twice must not be lost on it.
    */
-  readonly onNewConnection: boolean;
+  readonly needsNewConnection: boolean;
 }
 
 /** Timeouts of an engine's answer, and the signal that cancels it. */
--- a/src/common/services/work_of.ts
+++ b/src/common/services/work_of.ts
@@ -29,7 +29,7 @@
 }
 
 /** A plain call counts as an answer of one token. */
-const CALL_SIZE = { promptTokens: 0, askedTokens: 1, prefix: "" };
+const CALL_SIZE = { promptTokens: 0, requestedTokens: 1, prefix: "" };
 
 function sizeOf(body: unknown) {
   const { prompt, maximum_tokens } = (body ?? {}) as Record<string, unknown>;
@@ -37,7 +37,7 @@
   const hasMaximum = typeof maximum_tokens === "number" && maximum_tokens > 0;
   return {
     promptTokens: Math.ceil(text.length / CHARACTERS_PER_TOKEN),
-    askedTokens: hasMaximum ? maximum_tokens : DEFAULT_MAXIMUM_TOKENS,
+    requestedTokens: hasMaximum ? maximum_tokens : DEFAULT_MAXIMUM_TOKENS,
     prefix:
       text.length > PREFIX_CHARACTERS ? text.slice(0, PREFIX_CHARACTERS) : "",
   };
--- a/src/daemon/domain_options.ts
+++ b/src/daemon/domain_options.ts
@@ -48,12 +48,12 @@
       orderValidity: groups.takeover_margin * ORDER_VALIDITY_SHARE,
       concurrentLoads: groups.concurrent_loads,
     },
-    watch: {
+    memberMonitor: {
       pauseBound: groups.lease * PAUSE_SHARE,
       replaceAfter: groups.replace_after,
       holdAfterLoss: groups.hold_after_loss,
       longestHold: groups.longest_hold,
-      forgetHalf: groups.longest_hold * FORGET_FACTOR,
+      halfLife: groups.longest_hold * FORGET_FACTOR,
     },
     observeEvery: polling.domains,
     wanted: (engines) => wantedGroups(settings, engines),
--- a/src/entry/entry_process.ts
+++ b/src/entry/entry_process.ts
@@ -3,7 +3,7 @@
 import { ReadinessServer } from "../../platform/readiness_server.ts";
 import { decodeConfiguration } from "../../platform/configuration_decoder.ts";
 import { CONFIGURATION_NAME, ObjectKind } from "../../platform/names.ts";
-import { ObjectStore } from "../../platform/object_store.ts";
+import { ObjectStoreClient } from "../../platform/object_store_client.ts";
 import { TargetClient } from "../../platform/target_client.ts";
 import { decodeTarget } from "../../platform/target_decoder.ts";
 import { SystemClock } from "../adapters/clock/system_clock.ts";
@@ -71,7 +71,7 @@
   readonly #random = new SystemRandom();
   readonly #metrics = new PrometheusMetrics();
   readonly #owned = new DisposableStore();
-  readonly #store: ObjectStore;
+  readonly #store: ObjectStoreClient;
   readonly #client = new TargetClient();
   readonly #configuration: ActiveConfiguration;
   readonly #targets = new TargetRegistry(decodeTarget, REAPPEARANCE_TIME);
@@ -93,7 +93,7 @@
     const { name } = settings.instance;
     this.#log = new BoundedLog(this.#clock, { process: name });
     const log = this.#log;
-    this.#store = new ObjectStore(settings.store.address);
+    this.#store = new ObjectStoreClient(settings.store.address);
     this.#configuration = new ActiveConfiguration(decodeConfiguration, log);
     const configuration = this.#followConfiguration();
     const targetList = this.#followTargets();
--- a/src/entry/fleet_coordinator_test.ts
+++ b/src/entry/fleet_coordinator_test.ts
@@ -14,7 +14,7 @@
 import { ActiveConfiguration } from "../common/calls/active_configuration.ts";
 import { ServingGroups } from "../common/calls/serving_groups.ts";
 import { TargetRegistry } from "../common/calls/target_registry.ts";
-import { ListedState, MemberState } from "../common/calls/types.ts";
+import { ListedState, GroupMemberState } from "../common/calls/types.ts";
 import type {
   IConfiguration,
   IEngineState,
@@ -142,12 +142,12 @@
     if (order.kind === OrderKind.Join) {
       const { group, epoch, model, members } = order.plan;
       const rank = members.indexOf(id);
-      const membership = { group, epoch, rank, state: MemberState.Ready };
+      const membership = { group, epoch, rank, state: GroupMemberState.Ready };
       this.states.set(id, { ...state, model, staged: [model], membership });
     } else if (order.kind === OrderKind.Stage) {
       this.states.set(id, { ...state, staged: [order.model] });
     } else if (order.kind === OrderKind.Open && state.membership) {
-      const membership = { ...state.membership, state: MemberState.Open };
+      const membership = { ...state.membership, state: GroupMemberState.Open };
       this.states.set(id, { ...state, membership });
     } else if (order.kind === OrderKind.Leave) {
       this.states.set(id, { ...state, membership: null });
--- a/test/entry_process_test.ts
+++ b/test/entry_process_test.ts
@@ -145,9 +145,7 @@
     await waitFor("two groups serve", async () => {
       attempts += 1;
       await this.sendCall(`spread-${attempts}`);
-      return (
-        this.engines.filter(({ attempts }) => attempts.length > 0).length > 1
-      );
+      return this.engines.filter(({ runs }) => runs.length > 0).length > 1;
     });
   }
 
@@ -221,7 +219,7 @@
     await platform.waitForTwoGroups();
     const pendingAnswer = platform.sendCall("attempt-1");
     const findWriter = () =>
-      platform.engines.find(({ attempts }) => attempts.includes("attempt-1"));
+      platform.engines.find(({ runs }) => runs.includes("attempt-1"));
     await waitFor("an engine writes", async () => findWriter() !== undefined);
     const first = findWriter();
     if (first !== undefined) {
@@ -230,8 +228,8 @@
     const { status, text } = await pendingAnswer;
     expect(status).to.equal(200);
     expect(idsOf(text)).to.deep.equal(ALL_EVENT_IDS);
-    const ran = platform.engines.filter(({ attempts }) =>
-      attempts.includes("attempt-1"),
+    const ran = platform.engines.filter(({ runs }) =>
+      runs.includes("attempt-1"),
     );
     expect(ran).to.have.length(2);
   });
@@ -244,7 +242,7 @@
     await platform.waitForOneGroup();
     const pendingAnswer = platform.sendCall("attempt-1");
     await waitFor("an engine writes", () =>
-      platform.engines.some(({ attempts }) => attempts.includes("attempt-1")),
+      platform.engines.some(({ runs }) => runs.includes("attempt-1")),
     );
     platform.entry?.signal("SIGTERM");
     const { status, text } = await pendingAnswer;
--- a/test/support/engine_fixtures.ts
+++ b/test/support/engine_fixtures.ts
@@ -1,5 +1,5 @@
 /** Builders of engine states and views for tests of replica groups. */
-import { ListedState, MemberState } from "../../src/common/calls/types.ts";
+import { ListedState, GroupMemberState } from "../../src/common/calls/types.ts";
 import type {
   IEngineState,
   IListedTarget,
@@ -78,7 +78,7 @@
 export function memberOf(
   group: { readonly group: string; readonly epoch: number },
   rank: number,
-  state: MemberState = MemberState.Ready,
+  state: GroupMemberState = GroupMemberState.Ready,
 ): IEngineState {
   return engineState({
     model: "small",
--- a/test/support/platform_engine.ts
+++ b/test/support/platform_engine.ts
@@ -27,7 +27,7 @@
   /** While true, streams write nothing and no request is answered. */
   isStalled = false;
   /** Ids of the attempts that this engine started to run. */
-  readonly attempts: string[] = [];
+  readonly runs: string[] = [];
 
   /** @param events - number of events in a complete stream */
   constructor(id: string, service: string, events: number) {
@@ -122,7 +122,7 @@
 
   #stream(request: IncomingMessage, response: ServerResponse): void {
     const attempt = String(request.headers["x-attempt-id"]);
-    this.attempts.push(attempt);
+    this.runs.push(attempt);
     response.writeHead(200, {
       "content-type": "text/event-stream",
       "x-attempt-id": attempt,
