--- a/bench/decisions/trace.ts
+++ b/bench/decisions/trace.ts
@@ -1,31 +1,31 @@
-/** Requests to play, made from a seed. */
+/** Request traces generated from a seed. */
 import type { IWorkItem } from "../../src/common/decisions/work_item.ts";
 
-/** A request and how many tokens its answer really has. */
+/** A request and the actual number of tokens of its response. */
 export interface ITraceEntry {
   readonly work: IWorkItem;
   readonly tokens: number;
 }
 
-/** Requests of one account and kind. */
+/** A stream of similar requests of one account. */
 export interface IFlow {
   readonly account: string;
   readonly priority: number;
   readonly promptTokens: number;
   readonly askedTokens: number;
-  /** Requests a second at a time, milliseconds. */
+  /** Requests per second at a time in milliseconds. */
   readonly rate: (time: number) => number;
-  /** Milliseconds. */
+  /** Milliseconds after arrival. */
   readonly deadline: number;
-  /** How many different prefixes; 0 for none. */
+  /** Number of different prefixes; 0 for none. */
   readonly prefixes?: number;
 }
 
-/** Answers are this share of what was asked at least. */
+/** Least share of the asked tokens that a response has. */
 const SHORTEST_ANSWER = 0.6;
 
-/** Poisson arrivals of all flows, in order of time. */
-export function makeTrace(
+/** Poisson arrivals of all flows in order of time, by thinning. */
+export function generateTrace(
   flows: readonly IFlow[],
   duration: number,
   random: () => number,
@@ -44,7 +44,7 @@
       }
       if (random() < flow.rate(time) / highest) {
         entries.push(
-          makeEntry(flow, `${index}-${entries.length}`, time, random),
+          createEntry(flow, `${index}-${entries.length}`, time, random),
         );
       }
     }
@@ -52,7 +52,7 @@
   return entries.sort((a, b) => a.work.arrivedAt - b.work.arrivedAt);
 }
 
-function makeEntry(
+function createEntry(
   flow: IFlow,
   id: string,
   time: number,
--- a/bench/groups_bench.ts
+++ b/bench/groups_bench.ts
@@ -1,7 +1,7 @@
 /**
- * From a member's death to its group serving again, in real processes, the
- * parts apart, with and without a warm spare; then what the number of spares
- * costs under both deployments' weights: `npm run bench -- groups`.
+ * Time from a member's death until its group serves again, by phase, in real
+ * processes with and without a warm spare; then the cost of the number of
+ * spares under the weights of both deployments: `npm run bench -- groups`.
  */
 import { performance } from "node:perf_hooks";
 import { request } from "undici";
@@ -15,26 +15,27 @@
 } from "../test/support/group_checks.ts";
 import { waitFor } from "../test/support/process_handle.ts";
 
-/** The stand-in's load; real weights take minutes, which only adds to it. */
+/** Milliseconds that the stand-in loads; real weights add minutes. */
 const LOAD_TIME = 2_000;
 const ROUNDS = 5;
-/** How long the platform takes to bring another instance, in the trial. */
+/** Milliseconds until the platform starts a replacement without a spare. */
 const RETURN_TIME = 5_000;
+/** Milliseconds. */
 const POLL_EVERY = 10;
 
-/** Milliseconds from a member's death until each part was done. */
-interface IParts {
+/** Milliseconds from a member's death until the end of each phase. */
+interface IRecoveryTimes {
   /** Every daemon has stopped sending to the group. */
   readonly notice: number;
-  /** The record names the next generation: silence, decision and write. */
+  /** The record has the next generation: silence, decision and write. */
   readonly write: number;
-  /** The last member has obeyed its order. */
+  /** The last member has carried out its order. */
   readonly order: number;
   /** Every daemon sees the group complete. */
   readonly serve: number;
 }
 
-/** The default settings' silence bounds, so that figures are the product's. */
+/** Time bounds of the default settings, so that figures match the product. */
 const DEFAULT_GROUPS = {
   lease: "5s",
   takeover_margin: "2s",
@@ -43,14 +44,14 @@
   replace_after: "4s",
 };
 
-async function until(
+async function measureUntil(
   start: number,
   condition: () => Promise<boolean>,
 ): Promise<number> {
   const bound = start + 60_000;
   while (!(await condition())) {
     if (performance.now() > bound) {
-      throw new Error("the group did not come back within a minute");
+      throw new Error("the group did not recover within a minute");
     }
     await new Promise((done) => setTimeout(done, POLL_EVERY));
   }
@@ -60,31 +61,31 @@
 async function measure(
   deployment: Deployment,
   options: { readonly round: number; readonly hasSpare: boolean },
-): Promise<IParts> {
+): Promise<IRecoveryTimes> {
   const daemons = deployment.processNames("daemon-");
   const before = (await readDomainRecord(deployment)).groups[0];
   const isComplete = async (daemon: string) => {
     const { groups } = await deployment.status(daemon);
     return groups.every((group) => group.complete);
   };
-  const all = async (wanted: boolean) => {
+  const allReport = async (wanted: boolean) => {
     const seen = await Promise.all(daemons.map(isComplete));
     return seen.every((complete) => complete === wanted);
   };
   const start = performance.now();
   deployment.process(before?.members[1] ?? "").signal("SIGKILL");
-  const notice = await until(start, () => all(false));
+  const notice = await measureUntil(start, () => allReport(false));
   if (!options.hasSpare) {
     const left = RETURN_TIME - (performance.now() - start);
     await new Promise((done) => setTimeout(done, left));
     await deployment.startEngine(`engine-new-${options.round}`, ZONE);
   }
   const generation = before?.generation ?? 0;
-  const write = await until(start, async () => {
+  const write = await measureUntil(start, async () => {
     const group = (await readDomainRecord(deployment)).groups[0];
     return (group?.generation ?? 0) > generation;
   });
-  const order = await until(start, async () => {
+  const order = await measureUntil(start, async () => {
     const members =
       (await readDomainRecord(deployment)).groups[0]?.members ?? [];
     const states = await Promise.all(
@@ -92,7 +93,7 @@
     );
     return states.every((state) => state > generation);
   });
-  const serve = await until(start, () => all(true));
+  const serve = await measureUntil(start, () => allReport(true));
   return { notice, write, order, serve };
 }
 
@@ -113,13 +114,13 @@
   return sorted[Math.floor(sorted.length / 2)] ?? 0;
 }
 
-async function trial(hasSpare: boolean): Promise<number> {
+async function measureRecovery(hasSpare: boolean): Promise<number> {
   const spares = hasSpare ? ROUNDS : 0;
   await using deployment = await Deployment.start(
     groupPlan({
       enginesPerZone: 4 + spares,
       engineArguments: ["--load-time", String(LOAD_TIME)],
-      // Fixed, so that every engine beyond the one group is a spare.
+      // Fixed, so that every engine outside the one group is a spare.
       groups: { ...DEFAULT_GROUPS, spare_share: hasSpare ? 0.5 : 0 },
       polling: {},
     }),
@@ -128,7 +129,7 @@
     deployment,
     deployment.processNames("daemon-"),
   );
-  const parts: IParts[] = [];
+  const parts: IRecoveryTimes[] = [];
   for (let round = 0; round < ROUNDS; round++) {
     await waitFor("every daemon sees the group", async () => {
       const statuses = await Promise.all(
@@ -160,8 +161,8 @@
 
 const HOUR = 3_600_000;
 
-/** What each weighing chooses, and what the other number would cost. */
-function compare(healTime: number): void {
+/** Prints the choice by each deployment's weights and by the opposite ones. */
+function compareSpareCounts(healTime: number): void {
   const cases = [
     { name: "song_lam", down: 100, stranded: 1, returnTime: 8 * HOUR },
     { name: "hormas", down: 1, stranded: 1, returnTime: HOUR / 2 },
@@ -190,11 +191,11 @@
   }
 }
 
-/** Runs both trials, then the comparison by the measured heal time. */
+/** Measures recovery, then compares spare counts by the measured heal time. */
 export async function run(): Promise<void> {
-  const withSpare = await trial(true);
-  const without = await trial(false);
+  const withSpare = await measureRecovery(true);
+  const without = await measureRecovery(false);
   const ratio = (without / withSpare).toFixed(2);
   console.log(`downtime without a spare / with one: ${ratio}`);
-  compare(withSpare);
+  compareSpareCounts(withSpare);
 }
--- a/src/adapters/metrics/prometheus_metrics.ts
+++ b/src/adapters/metrics/prometheus_metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and latencies in the usual text exposition form. */
+/** Counters, gauges and latencies in the Prometheus text format. */
 import { build } from "hdr-histogram-js";
 import type { Histogram } from "hdr-histogram-js";
 import { Counter, Gauge, Registry } from "prom-client";
@@ -10,13 +10,13 @@
 const PREFIX = "cranberryledge_";
 const NO_LABELS: Labels = {};
 
-/** Largest duration that is told apart, milliseconds: ten minutes. */
-const LARGEST_DURATION = 600_000;
+/** Longer durations are recorded as this, milliseconds: ten minutes. */
+const MAXIMUM_DURATION = 600_000;
 
-/** Quantiles shown for each latency. */
-const QUANTILES: readonly number[] = [50, 95, 99];
+/** Percentiles exposed for each latency. */
+const PERCENTILES: readonly number[] = [50, 95, 99];
 
-/** Counts by prom-client, latencies by HDR histograms. */
+/** Uses prom-client for counters and gauges, HDR histograms for latencies. */
 export class PrometheusMetrics implements IMetrics {
   readonly #registry = new Registry();
   readonly #counters = new Map<string, Counter>();
@@ -44,7 +44,7 @@
   ): void {
     const value = Math.min(
       Math.max(Math.round(milliseconds), 0),
-      LARGEST_DURATION,
+      MAXIMUM_DURATION,
     );
     this.#histogram(name, labels).recordValue(value);
   }
@@ -55,7 +55,7 @@
     this.#gaugeNamed(name, options).set(labels, value);
   }
 
-  /** Everything so far, as text for a collector. */
+  /** Returns all metrics as text for a collector. */
   async expose(): Promise<string> {
     for (const [name, series] of this.#histograms) {
       for (const [key, histogram] of series) {
@@ -74,9 +74,9 @@
     const help = HELP_TEXTS[name] ?? name;
     const options = { labelNames, help };
     const gauge = this.#gaugeNamed(`${name}_milliseconds`, options);
-    for (const quantile of QUANTILES) {
-      const value = histogram.getValueAtPercentile(quantile);
-      gauge.set({ ...labels, quantile: String(quantile / 100) }, value);
+    for (const percentile of PERCENTILES) {
+      const value = histogram.getValueAtPercentile(percentile);
+      gauge.set({ ...labels, quantile: String(percentile / 100) }, value);
     }
   }
 
@@ -93,7 +93,7 @@
         bitBucketSize: 32,
         autoResize: true,
         lowestDiscernibleValue: 1,
-        highestTrackableValue: LARGEST_DURATION,
+        highestTrackableValue: MAXIMUM_DURATION,
         numberOfSignificantValueDigits: 2,
       });
       series.set(key, histogram);
